--- a/core/admission/bounds.go
+++ b/core/admission/bounds.go
@@ -5,21 +5,25 @@
 	"time"
 )
 
-// Bounds are the settings that may change while a controller is in use. A zero
-// field leaves its setting as it is.
+// Bounds holds the settings that may change while a controller is in use. A zero
+// field leaves its setting unchanged.
 type Bounds struct {
-	// QueueLimit bounds the queue; what is queued beyond a lower one stays.
+	// QueueLimit is the maximum number of queued requests. Lowering it removes
+	// no request that is already queued.
 	QueueLimit int
-	// WaitLimit bounds the expected wait for the first token: a request that
-	// would wait longer is refused as by a full queue. None at first.
+	// WaitLimit is the maximum expected time to the first token. A request that
+	// would wait longer is refused with the same reason as when the queue is
+	// full. There is no limit until one is set.
 	WaitLimit time.Duration
-	// Overflow is the probability, from 0 to 0.5, with which memory may fill
-	// before what runs has ended. It gives the margin; preemptions move that on.
+	// Overflow is the accepted probability, from 0 to 0.5, that memory runs out
+	// before the running sequences have ended. It determines the margin, which
+	// preemptions and starts then adjust further.
 	Overflow float64
 }
 
-// SetBounds takes new bounds. The margin moves by the difference of the two
-// probabilities only, so that what preemptions have taught stays.
+// SetBounds applies new bounds. A new Overflow shifts the margin by the
+// difference between the margins of the new and the old probability, so that
+// the adjustments made for preemptions are kept.
 func (c *Controller) SetBounds(b Bounds) {
 	if b.QueueLimit > 0 {
 		c.cfg.QueueLimit = b.QueueLimit
@@ -34,12 +38,14 @@
 	}
 }
 
-// marginFor gives the standard deviations that a normal variable exceeds with
-// probability p: the sum of many sequences' memory is close to one.
+// marginFor returns the number of standard deviations above its mean that a
+// normal variable exceeds with probability p. The total memory of many sequences
+// is close to normally distributed.
 func marginFor(p float64) float64 { return math.Sqrt2 * math.Erfinv(1-2*p) }
 
-// tooLong tells whether s would wait beyond the limit. One that can start now is
-// never refused for the length of its own prompt.
-func (c *Controller) tooLong(s *sequence, wait time.Duration) bool {
+// exceedsWaitLimit reports whether the expected time to the first token of s,
+// which has to wait for the given time before it starts, is above the wait limit.
+// A sequence that can start now never exceeds it, however long its prompt takes.
+func (c *Controller) exceedsWaitLimit(s *sequence, wait time.Duration) bool {
 	return c.waitLimit > 0 && wait > 0 && wait+c.prefillTime(s) > c.waitLimit
 }
--- a/core/admission/bounds_test.go
+++ b/core/admission/bounds_test.go
@@ -9,8 +9,8 @@
 	qt "github.com/frankban/quicktest"
 )
 
-// The bounds change while requests wait: the next offer and the next bid go by
-// the new ones, and what was queued under the old ones stays queued.
+// New bounds that are set while requests wait apply to the next offer and the
+// next bid. Requests that were queued under the old bounds stay queued.
 func TestBoundsChangeWhileInUse(t *testing.T) {
 	c := newTest(Config{Capacity: 1000, QueueLimit: 8})
 	offer(t, c, epoch, note("r", "a", 900))
@@ -37,8 +37,8 @@
 	qt.Assert(t, c.Snapshot(epoch).Waiting, qt.Equals, 2)
 }
 
-// A long prompt on an idle target can start at once: the limit of the wait does
-// not refuse it, or it would be refused everywhere and for ever.
+// A request with a long prompt can start at once on an idle target, so the wait
+// limit must not refuse it. Otherwise every target would refuse it on every try.
 func TestWaitLimitSparesWhatCanStart(t *testing.T) {
 	c := newTest(Config{Capacity: 1000})
 	c.SetBounds(Bounds{WaitLimit: time.Nanosecond})
@@ -46,8 +46,8 @@
 	qt.Assert(t, ids(c.Next(epoch)), qt.DeepEquals, []string{"r"})
 }
 
-// The admitted probability of an overflow sets the margin in deviations; what a
-// preemption has added stays on top.
+// The accepted overflow probability sets the margin in standard deviations. The
+// increase that a preemption caused is kept when the probability changes.
 func TestOverflowSetsTheMargin(t *testing.T) {
 	c := newTest(Config{Capacity: 1000})
 	margin := func() float64 { return math.Round(c.Snapshot(epoch).Margin*100) / 100 }
--- a/core/admission/controller_test.go
+++ b/core/admission/controller_test.go
@@ -14,8 +14,8 @@
 
 var epoch = time.Unix(1_000_000, 0)
 
-// newTest returns a controller whose notes are known to be about 200 tokens
-// long and whose tags about 10.
+// newTest returns a controller that has learned output lengths of about 200 tokens
+// for notes and about 10 tokens for tags.
 func newTest(cfg Config) *Controller {
 	e := estimate.New(estimate.Config{})
 	rng := rand.New(rand.NewPCG(1, 1))
@@ -44,7 +44,7 @@
 	return out
 }
 
-// offer queues all and fails the test when one is refused.
+// offer queues all requests of the list and fails the test if one is refused.
 func offer(t *testing.T, c *Controller, now time.Time, list ...Request) {
 	t.Helper()
 	for _, r := range list {
@@ -54,7 +54,8 @@
 	}
 }
 
-// runAll ends the running sequence id after n tokens and starts what follows.
+// finish ends the running sequence id after n tokens and returns the IDs of the
+// sequences that start next.
 func finish(c *Controller, id string, n int, now time.Time) []string {
 	c.Done(api.RequestID(id), 1, n, now)
 	return ids(c.Next(now))
@@ -72,7 +73,7 @@
 		{"same request again", 1, note("q0", "a", 10), api.ReasonDuplicate, false},
 		{"same request, later attempt", 1, Request{ID: "q0", Attempt: 2, Prompt: 10}, api.ReasonDuplicate, false},
 		{"queue full", 8, note("x", "c", 10), api.ReasonQueueFull, true},
-		{"own half of the queue full", 4, note("x", "a", 10), api.ReasonQueueFull, true},
+		{"customer's half of the queue full", 4, note("x", "a", 10), api.ReasonQueueFull, true},
 		{"deadline before its turn", 4, Request{
 			ID: "x", Attempt: 1, Customer: "c", Kind: "note", Prompt: 900, Arrived: epoch, Deadline: epoch.Add(time.Millisecond),
 		}, api.ReasonDeadlineHopeless, true},
@@ -98,29 +99,29 @@
 	}
 }
 
-// TestLateWords: a stream that was cancelled, or an attempt that went elsewhere,
-// still sends words about itself. They must change nothing here; a Done that
-// ended the wrong attempt would free memory that is in use.
+// TestLateWords guards against reports that arrive late, from a cancelled stream
+// or from an attempt that was moved to another target. They must change nothing. A
+// Done that ended the wrong attempt would count memory as free that is in use.
 func TestLateWords(t *testing.T) {
 	cases := []struct {
-		name string
-		word func(c *Controller)
+		name   string
+		report func(c *Controller)
 	}{
 		{"done for an unknown sequence", func(c *Controller) { c.Done("none", 1, 5, epoch) }},
 		{"done for another attempt", func(c *Controller) { c.Done("run", 2, 5, epoch) }},
 		{"done for a queued one", func(c *Controller) { c.Done("wait", 1, 5, epoch) }},
 		{"progress for another attempt", func(c *Controller) { c.Progress("run", 2, 50, epoch) }},
-		{"progress that went back", func(c *Controller) { c.Progress("run", 1, 3, epoch) }},
+		{"progress with a smaller count", func(c *Controller) { c.Progress("run", 1, 3, epoch) }},
 		{"preempted while queued", func(c *Controller) { c.Preempted("wait", 1, epoch) }},
 		{"failed for an unknown sequence", func(c *Controller) { c.Failed("none", 1) }},
 		{"cancel of an unknown request", func(c *Controller) {
 			if c.Cancel("none", 1, epoch) {
-				panic("nothing proves that it never started")
+				panic("Cancel returned true for an unknown request")
 			}
 		}},
 		{"cancel of another attempt", func(c *Controller) {
 			if c.Cancel("wait", 2, epoch) {
-				panic("this attempt is not the one that waits")
+				panic("Cancel returned true for an attempt that is not queued")
 			}
 		}},
 	}
@@ -130,9 +131,9 @@
 			offer(t, ctl, epoch, note("run", "a", 800), note("wait", "a", 800))
 			qt.Assert(t, ids(ctl.Next(epoch)), qt.DeepEquals, []string{"run"})
 			ctl.Progress("run", 1, 5, epoch)
-			before := ctl.load
-			c.word(ctl)
-			qt.Check(t, ctl.load, qt.Equals, before)
+			before := ctl.predictedLoad
+			c.report(ctl)
+			qt.Check(t, ctl.predictedLoad, qt.Equals, before)
 			qt.Check(t, ctl.byID["run"].produced, qt.Equals, 5)
 			qt.Check(t, ctl.preempted, qt.Equals, 0)
 			running, waiting, _ := ctl.Counts()
@@ -141,8 +142,9 @@
 	}
 }
 
-// TestCancelProvesOnlyTheQueued: a caller may be told "not run" only when the
-// request was taken out of the queue. Once started, the engine has it.
+// TestCancelProvesOnlyTheQueued checks that Cancel returns true, which lets the
+// caller be told "not run", only for a request that it removed from the queue. A
+// started request may already be running in the engine.
 func TestCancelProvesOnlyTheQueued(t *testing.T) {
 	c := newTest(Config{Capacity: 1000})
 	offer(t, c, epoch, note("run", "a", 800), note("wait", "a", 800))
@@ -166,9 +168,9 @@
 	qt.Check(t, c.Cancel("x", 3, epoch), qt.IsFalse)
 }
 
-// TestPreemptedMidDecode: the engine takes a running sequence's memory while
-// another waits. Were the waiting one started, it would take the memory that the
-// preempted one needs to go on, and its caller's stall would grow.
+// TestPreemptedMidDecode preempts a running sequence while another one waits. If
+// the waiting one started, it would take the memory that the preempted sequence
+// needs to resume, and the caller of the latter would wait even longer.
 func TestPreemptedMidDecode(t *testing.T) {
 	c := newTest(Config{Capacity: 2000})
 	offer(t, c, epoch, note("a", "a", 100))
@@ -208,16 +210,17 @@
 	qt.Check(t, got, qt.DeepEquals, []string{"t0", "t1", "n1"})
 }
 
-// TestShortWorkIsNotStuck: a tag that fits starts although a note that does not
-// is ahead of it.
+// TestShortWorkIsNotStuck checks that a tag that fits starts although a note that
+// does not fit was queued before it.
 func TestShortWorkIsNotStuck(t *testing.T) {
 	c := newTest(Config{Capacity: 1000, PrefillBudget: 10_000})
 	offer(t, c, epoch, note("run", "a", 500), note("big", "a", 450), tag("small", "b", 20))
 	qt.Check(t, ids(c.Next(epoch)), qt.DeepEquals, []string{"small", "run"})
 }
 
-// TestTagUsesPartOfTheMargin: the memory that is kept free holds a note back but
-// not a tag of the same prompt, which ends before that memory is needed.
+// TestTagUsesPartOfTheMargin checks that the margin prevents a note from starting
+// but not a tag with a prompt of the same length, which ends before the memory of
+// the margin is needed.
 func TestTagUsesPartOfTheMargin(t *testing.T) {
 	c := newTest(Config{Capacity: 1000, PrefillBudget: 10_000})
 	offer(t, c, epoch, note("run", "a", 300))
@@ -225,12 +228,13 @@
 	c.margin = 1000
 	offer(t, c, epoch, note("n", "a", 100))
 	qt.Check(t, ids(c.Next(epoch)), qt.HasLen, 0)
-	c.margin = c.load.margin(float64(c.cfg.Capacity)) * 1.2
+	c.margin = c.predictedLoad.margin(float64(c.cfg.Capacity)) * 1.2
 	offer(t, c, epoch, tag("t", "a", 100))
 	qt.Check(t, ids(c.Next(epoch)), qt.DeepEquals, []string{"t"})
 }
 
-// margin is the largest margin at which f's peak is within the capacity.
+// margin returns the largest margin, in steps of 0.01, at which the peak of f is
+// within the capacity.
 func (f *forecast) margin(capacity float64) float64 {
 	m := 0.0
 	for f.peak(m+0.01) <= capacity {
@@ -239,9 +243,9 @@
 	return m
 }
 
-// TestAgeGoesFirst: a customer far ahead of its share would wait behind all the
-// others; past the age bound its request is the next to start, and smaller ones
-// do not slip past it.
+// TestAgeGoesFirst checks that a request past the age bound is the next to start,
+// and that smaller requests do not overtake it, even if its customer has been
+// served far more than its share and would otherwise come after all others.
 func TestAgeGoesFirst(t *testing.T) {
 	c := newTest(Config{Capacity: 1000, AgeBound: 10 * time.Second})
 	offer(t, c, epoch, note("run", "z", 500))
@@ -280,8 +284,9 @@
 	qt.Check(t, free, qt.Equals, 1600)
 }
 
-// TestYield: the memory is about to run out while a sequence has not delivered
-// anything; it goes back to the front of its queue, and nothing of the others'.
+// TestYield checks that, when memory is about to run out, only the sequence that
+// has produced no token goes back to the queue, where it can be cancelled as never
+// started. A sequence that has produced tokens keeps running.
 func TestYield(t *testing.T) {
 	c := newTest(Config{Capacity: 10_000, PrefillBudget: 10_000})
 	offer(t, c, epoch, note("a", "a", 100), note("b", "a", 100))
@@ -297,9 +302,9 @@
 	qt.Check(t, c.Cancel("b", 1, epoch), qt.IsTrue)
 }
 
-// TestBidKeepsItsPlace: two entries ask at once for memory that only one of
-// their requests fits in. The second is told to wait, until the first bid is
-// released or has run out.
+// TestBidKeepsItsPlace simulates two entry processes that ask at the same time for
+// memory in which only one of their requests fits. The second one is told to wait
+// until the reservation of the first bid is released or has expired.
 func TestBidKeepsItsPlace(t *testing.T) {
 	c := newTest(Config{Capacity: 1000})
 	qt.Check(t, c.Bid(note("a", "a", 600), epoch).Wait < time.Second/5, qt.IsTrue)
@@ -326,8 +331,9 @@
 	b.ReportMetric(float64(len(starts)), "running")
 }
 
-// TestRetryAfterLeavesRoom: a caller that is told to come back must not stand at
-// the edge of its deadline again: by then the wait is half of what it allows.
+// TestRetryAfterLeavesRoom guards against callers that retry on time and are
+// refused again because the wait is still close to their deadline. RetryAfter must
+// be long enough for the wait to drop to half of the time left to the deadline.
 func TestRetryAfterLeavesRoom(t *testing.T) {
 	c := newTest(Config{Capacity: 1000, QueueLimit: 1000})
 	for i := range 100 {
--- a/core/admission/forecast.go
+++ b/core/admission/forecast.go
@@ -6,87 +6,96 @@
 	"almondseam.dev/core/estimate"
 )
 
-// horizon is the points at which memory is predicted, in tokens from now. All
-// running sequences grow by one token a step, so a point is a number of steps.
+// horizon lists the future points for which memory use is predicted, in tokens
+// per sequence from now. Each engine step adds one token to every running
+// sequence, so a point is also a number of engine steps.
 var horizon = [...]int{0, 32, 64, 128, 192, 256, 384, 512, 768, 1024, 1536, 2048, 3072, 4096}
 
 const points = len(horizon)
 
-// forecast is memory use in tokens at each point of the horizon: its mean, its
-// variance, and how much more it is when the lengths are longer than learned.
+// forecast is the predicted memory use in tokens at each point of the horizon.
 type forecast struct {
 	mean [points]float64
-	vari [points]float64
-	late [points]float64
+	// variance is the part due to chance, which is independent between
+	// sequences.
+	variance [points]float64
+	// correlated is the additional memory in use if the hazards of ending are
+	// lower than learned, which affects all sequences together.
+	correlated [points]float64
 }
 
-// add puts other on top of f.
+// add adds other to f.
 func (f *forecast) add(other *forecast) {
 	for i := range points {
 		f.mean[i] += other.mean[i]
-		f.vari[i] += other.vari[i]
-		f.late[i] += other.late[i]
+		f.variance[i] += other.variance[i]
+		f.correlated[i] += other.correlated[i]
 	}
 }
 
-// sub takes other away again.
+// sub subtracts other from f.
 func (f *forecast) sub(other *forecast) {
 	for i := range points {
 		f.mean[i] -= other.mean[i]
-		f.vari[i] -= other.vari[i]
-		f.late[i] -= other.late[i]
+		f.variance[i] -= other.variance[i]
+		f.correlated[i] -= other.correlated[i]
 	}
 }
 
-// shift adds tokens that are held all along.
-func (f *forecast) shift(tokens float64) {
+// addConstant adds memory that stays in use over the whole horizon.
+func (f *forecast) addConstant(tokens float64) {
 	for i := range points {
 		f.mean[i] += tokens
 	}
 }
 
-// doubt is the part by which the hazard of ending may be less than learned.
-// Sequences that end by chance later than expected even each other out; lengths
-// that have shifted delay all of them at once, and the engine fills in one burst.
-const doubt = 0.4
+// hazardUncertainty is the fraction by which the true hazard of ending may be
+// lower than the learned one. When single sequences end later than expected by
+// chance, others end earlier and the sum changes little. When the distribution of
+// lengths has shifted, all sequences end later at the same time and memory fills
+// within a short time.
+const hazardUncertainty = 0.4
 
-// peak is the largest mean plus margin deviations over the horizon; a deviation
-// is made of chance, which is independent, and of doubt, which is not.
+// peak returns the maximum over the horizon of the mean plus margin standard
+// deviations. A deviation combines the variance of independent lengths with the
+// error of the learned hazards, which is common to all sequences.
 func (f *forecast) peak(margin float64) float64 {
-	most := 0.0
+	highest := 0.0
 	for i := range points {
-		most = max(most, f.mean[i]+margin*math.Sqrt(max(0, f.vari[i])+f.late[i]*f.late[i]))
+		highest = max(highest, f.mean[i]+margin*math.Sqrt(max(0, f.variance[i])+f.correlated[i]*f.correlated[i]))
 	}
-	return most
+	return highest
 }
 
-// peakWith is the peak of f and other together.
+// peakWith returns the peak of the sum of f and other.
 func (f *forecast) peakWith(other *forecast, margin float64) float64 {
 	sum := *f
 	sum.add(other)
 	return sum.peak(margin)
 }
 
-// grow predicts one sequence that holds size tokens of its own and has produced
-// n: at each point it holds its size and the growth if it still runs, else none.
-func grow(c *estimate.Curve, size, n, limit int) forecast {
+// predict returns the forecast of one sequence that now holds size tokens of
+// memory, has produced n output tokens, and ends at the latest after limit output
+// tokens if limit is positive. At each point it holds its size plus the tokens
+// produced until then if it still runs, and nothing once it has ended.
+func predict(c *estimate.Curve, size, n, limit int) forecast {
 	var f forecast
 	now := c.Alive(n)
 	for i, t := range horizon {
-		alive := 0.0
+		survival := 0.0
 		switch {
 		case t == 0:
-			alive = 1
+			survival = 1
 		case limit > 0 && n+t >= limit:
-			// Its own bound ends it.
+			// The sequence has reached its output limit and ended.
 		case now > 0:
-			alive = c.Alive(n+t) / now
+			survival = c.Alive(n+t) / now
 		}
 		held := float64(size + t)
-		f.mean[i] = held * alive
-		f.vari[i] = held * held * alive * (1 - alive)
-		if alive > 0 && alive < 1 {
-			f.late[i] = held * (math.Pow(alive, 1-doubt) - alive)
+		f.mean[i] = held * survival
+		f.variance[i] = held * held * survival * (1 - survival)
+		if survival > 0 && survival < 1 {
+			f.correlated[i] = held * (math.Pow(survival, 1-hazardUncertainty) - survival)
 		}
 	}
 	return f
--- a/core/admission/queue.go
+++ b/core/admission/queue.go
@@ -8,20 +8,21 @@
 
 const classes = 2
 
-// customer is one customer's share of the target.
+// customer is the queue and the account of one customer on the target.
 type customer struct {
 	id     api.CustomerID
 	weight float64
-	// served is the tokens charged so far, divided by the weight.
+	// served is the number of tokens charged so far, divided by the weight.
 	served float64
-	// queue holds the waiting sequences per class in order of arrival, and
-	// queued their expected tokens.
-	queue   [classes][]*sequence
-	queued  [classes]float64
+	// queue holds the waiting sequences per class in the order in which they
+	// start, and queued the sum of their expected output tokens.
+	queue  [classes][]*sequence
+	queued [classes]float64
+	// running is the number of running sequences.
 	running int
 }
 
-// head is the next waiting sequence of a class.
+// head returns the next waiting sequence of a class, or nil.
 func (c *customer) head(class Class) *sequence {
 	if len(c.queue[class]) == 0 {
 		return nil
@@ -31,37 +32,41 @@
 
 func (c *customer) waiting() int { return len(c.queue[ClassNote]) + len(c.queue[ClassTag]) }
 
-// fairQueue shares starts between customers: the one with the fewest tokens
-// served for its weight goes first. A customer that returns after a pause starts
-// from the level of those now served, so that it cannot claim the past.
+// fairQueue is a weighted fair queue over customers: the customer with the fewest
+// served tokens per weight goes first. A customer that returns after a pause
+// starts from the current virtual time, so that it gets no compensation for the
+// time in which it had no requests.
 type fairQueue struct {
 	customers map[api.CustomerID]*customer
-	// active are the customers that wait, in no order.
+	// active holds the customers with waiting sequences, in no particular order.
 	active []*customer
-	// level is the served value of the customer last charged.
-	level float64
+	// virtualTime is the highest served value that a customer had when one of
+	// its sequences started, before that sequence was charged.
+	virtualTime float64
+	// len is the number of waiting sequences, class that of each class.
 	len   int
 	class [classes]int
 }
 
-// get finds or makes a customer.
-func (q *fairQueue) get(id api.CustomerID, weight int) *customer {
+// getOrCreate returns the customer with the ID, creating it if necessary, and
+// sets its weight.
+func (q *fairQueue) getOrCreate(id api.CustomerID, weight int) *customer {
 	c, ok := q.customers[id]
 	if !ok {
-		c = &customer{id: id, served: q.level}
+		c = &customer{id: id, served: q.virtualTime}
 		q.customers[id] = c
 	}
 	c.weight = float64(max(weight, 1))
 	return c
 }
 
-// push adds s at the end of its customer's queue, or at its front.
+// push adds s to the queue of its customer, at the front or at the end.
 func (q *fairQueue) push(s *sequence, front bool) {
 	c := s.cust
 	if c.waiting() == 0 {
 		q.active = append(q.active, c)
 		if c.running == 0 {
-			c.served = max(c.served, q.level)
+			c.served = max(c.served, q.virtualTime)
 		}
 	}
 	list := append(c.queue[s.Class], s)
@@ -70,12 +75,12 @@
 		list[0] = s
 	}
 	c.queue[s.Class] = list
-	c.queued[s.Class] += s.expect
+	c.queued[s.Class] += s.expectedOutput
 	q.len++
 	q.class[s.Class]++
 }
 
-// remove takes a waiting sequence out.
+// remove removes a waiting sequence from the queue of its customer.
 func (q *fairQueue) remove(s *sequence) {
 	c := s.cust
 	list := c.queue[s.Class]
@@ -85,7 +90,7 @@
 			break
 		}
 	}
-	c.queued[s.Class] -= s.expect
+	c.queued[s.Class] -= s.expectedOutput
 	q.len--
 	q.class[s.Class]--
 	if c.waiting() > 0 {
@@ -98,47 +103,52 @@
 			break
 		}
 	}
-	q.forget(c)
+	q.removeIdle(c)
 }
 
-// charge adds tokens to what c was served.
+// charge adds tokens, divided by the customer's weight, to what c was served.
+// Negative tokens are a refund.
 func (q *fairQueue) charge(c *customer, tokens float64) {
 	c.served += tokens / c.weight
 }
 
-// forget drops a customer that neither waits nor runs and is owed nothing; one
-// that is ahead of its share stays until the others have caught up.
-func (q *fairQueue) forget(c *customer) {
-	if c.waiting() == 0 && c.running == 0 && (c.served <= q.level || len(q.active) == 0) {
+// removeIdle deletes the record of c if c has no waiting and no running
+// sequences. While other customers wait, it keeps the record of a customer that
+// was served beyond the virtual time, so that this still counts when the customer
+// returns.
+func (q *fairQueue) removeIdle(c *customer) {
+	if c.waiting() == 0 && c.running == 0 && (c.served <= q.virtualTime || len(q.active) == 0) {
 		delete(q.customers, c.id)
 	}
 }
 
-// least is the waiting customer of a class with the fewest tokens served among
-// those after the pair (served, id) of `after`; nil at the end.
-func (q *fairQueue) least(class Class, after *customer) *customer {
+// leastServed returns the customer that comes first in the order of lessServed
+// among those with waiting sequences of a class. If after is not nil, only the
+// customers that come later than after are considered. It returns nil when there
+// is none.
+func (q *fairQueue) leastServed(class Class, after *customer) *customer {
 	var best *customer
 	for _, c := range q.active {
-		if len(c.queue[class]) == 0 || (after != nil && !after.ahead(c)) {
+		if len(c.queue[class]) == 0 || (after != nil && !after.lessServed(c)) {
 			continue
 		}
-		if best == nil || c.ahead(best) {
+		if best == nil || c.lessServed(best) {
 			best = c
 		}
 	}
 	return best
 }
 
-// ahead orders customers by what they were served; the name settles ties, so
-// that every run chooses alike.
-func (c *customer) ahead(o *customer) bool {
+// lessServed reports whether c was served fewer tokens per weight than o. The ID
+// breaks ties, so that the order is deterministic.
+func (c *customer) lessServed(o *customer) bool {
 	if c.served != o.served {
 		return c.served < o.served
 	}
 	return c.id < o.id
 }
 
-// oldest is the head of a class that has waited longest.
+// oldest returns the earliest offered sequence among the heads of a class, or nil.
 func (q *fairQueue) oldest(class Class) *sequence {
 	var best *sequence
 	for _, c := range q.active {
--- a/core/admission/types.go
+++ b/core/admission/types.go
@@ -1,7 +1,12 @@
-// Package admission decides, for one target, which sequence starts when, which
-// one yields when the engine's memory fills, and what is refused. It is pure:
-// the caller passes the time in and runs what it is told to run. A controller
-// is used from one goroutine at a time (the agent holds a lock).
+// Package admission decides for one target, an inference engine, when each
+// sequence starts, which sequence is withdrawn when the engine's memory fills up,
+// and which requests are refused. A sequence is the processing of one request by
+// the engine. The package does no I/O: the caller passes the current time and
+// carries out the decisions. A controller must be used from one goroutine at a
+// time (the agent calls it under a lock).
+//
+// Requests have one of two classes, which the configuration calls note and tag:
+// a note has a long, open-ended output, a tag a short one, such as a label.
 package admission
 
 import (
@@ -10,24 +15,24 @@
 	"almondseam.dev/core/api"
 )
 
-// Class tells short answers from long ones, as the customer's configuration
-// or the request's own bound says.
+// Class distinguishes requests with short outputs from those with long ones,
+// according to the configuration or the request's own output limit.
 type Class uint8
 
 const (
-	// ClassNote is a long, open-ended answer.
+	// ClassNote is the class of requests with a long, open-ended output.
 	ClassNote Class = iota
-	// ClassTag is a short answer, such as a label.
+	// ClassTag is the class of requests with a short output, such as a label.
 	ClassTag
 )
 
-// Request is one sequence that wants to run on the target.
+// Request describes one sequence to be run on the target.
 type Request struct {
 	ID       api.RequestID
 	Attempt  api.Attempt
 	Customer api.CustomerID
 	Model    api.ModelID
-	// Kind separates output-length histograms within a model, for example
+	// Kind separates the learned output lengths within a model, for example
 	// "note" and "tag".
 	Kind  string
 	Class Class
@@ -35,68 +40,75 @@
 	Prompt int
 	// Cached is the number of prompt tokens believed to be in the prefix cache.
 	Cached int
-	// Prefix names the first PrefixTokens tokens of the prompt, which running
-	// sequences of the same prefix share in memory; zero means none is shared.
+	// Prefix identifies the first PrefixTokens tokens of the prompt, which
+	// running sequences with the same prefix share in memory; zero means that
+	// no prefix is shared.
 	Prefix       uint64
 	PrefixTokens int
-	// MaxTokens bounds the output in tokens; zero means no bound was given.
+	// MaxTokens is the request's output limit in tokens; zero means no limit.
 	MaxTokens int
-	// Weight is the customer's share; zero counts as 1.
+	// Weight is the customer's weight in the fair queue; zero counts as 1.
 	Weight int
-	// Arrived is when the caller's request first reached an entry.
+	// Arrived is when the caller's request first reached an entry process.
 	Arrived time.Time
-	// Deadline is when the caller gives up waiting for the first token; zero
-	// means never.
+	// Deadline is when the caller stops waiting for the first token; zero means
+	// never.
 	Deadline time.Time
 }
 
-// Bid answers "when could you start this".
+// Bid is the answer to the question when the target could start a request.
 type Bid struct {
 	// Wait is the expected time until the first token.
 	Wait time.Duration
-	// Cached is the number of prompt tokens held in the prefix cache.
+	// Cached is the number of prompt tokens that the engine need not compute,
+	// since they are in the prefix cache or in a prefix shared with a running
+	// sequence.
 	Cached int
-	// Refuse is set when the target would refuse the request, RetryAfter when
-	// asking again may help.
+	// Refuse is set if the target would refuse the request. RetryAfter is then
+	// the time after which to ask again, or zero if asking again does not help.
 	Refuse     api.Reason
 	RetryAfter time.Duration
 }
 
 // Verdict is the answer to an offered request.
 type Verdict struct {
-	// Queued tells that the request was accepted; Position is its place in
-	// the queue from 0.
+	// Queued reports that the request was accepted. Position is then the number
+	// of requests of its class that were queued before it.
 	Queued   bool
 	Position int
-	// Wait is the expected time until it starts.
+	// Wait is the expected time until the request starts.
 	Wait time.Duration
-	// Refuse and RetryAfter are set when it was not accepted.
+	// Refuse is the reason if the request was not accepted. RetryAfter is then
+	// the time after which to ask again, or zero if asking again does not help.
 	Refuse     api.Reason
 	RetryAfter time.Duration
 }
 
-// Start is an instruction to start a sequence now with an engine priority
-// (lower runs first, as engines count).
+// Start is an instruction to start a sequence now with an engine priority; the
+// engine runs lower numbers first. Expired returns requests in the same form.
 type Start struct {
 	ID       api.RequestID
 	Attempt  api.Attempt
 	Priority int
 }
 
-// Snapshot is what a load report carries.
+// Snapshot is the state of a controller for a load report.
 type Snapshot struct {
 	Running int
 	Waiting int
-	// Free is the memory in tokens not expected to be used at the coming peak.
+	// Free is the memory in tokens that stays free at the predicted peak
+	// including the margin.
 	Free     int
 	Capacity int
-	// WaitNote and WaitTag are the expected waits of a request that came now.
+	// WaitNote and WaitTag are the expected waits of a note and of a tag that
+	// would be queued now, for a customer with no other waiting requests.
 	WaitNote time.Duration
 	WaitTag  time.Duration
-	// Preemptions counts those seen; Margin is the number of standard
-	// deviations that the controller now keeps free.
+	// Preemptions is the number of preemptions so far. Margin is the number of
+	// standard deviations of memory that the controller now keeps free.
 	Preemptions int
 	Margin      float64
-	// OldestWait is how long the oldest queued request has waited.
+	// OldestWait is how long the oldest queued request has waited since it
+	// arrived at an entry process.
 	OldestWait time.Duration
 }
