--- a/core/admission/forecast.go
+++ b/core/admission/forecast.go
@@ -80,7 +80,7 @@
 // produced until then if it still runs, and nothing once it has ended.
 func predict(c *estimate.Curve, size, n, limit int) forecast {
 	var f forecast
-	now := c.Alive(n)
+	now := c.Survival(n)
 	for i, t := range horizon {
 		survival := 0.0
 		switch {
@@ -89,7 +89,7 @@
 		case limit > 0 && n+t >= limit:
 			// The sequence has reached its output limit and ended.
 		case now > 0:
-			survival = c.Alive(n+t) / now
+			survival = c.Survival(n+t) / now
 		}
 		held := float64(size + t)
 		f.mean[i] = held * survival
--- a/core/estimate/curve.go
+++ b/core/estimate/curve.go
@@ -8,7 +8,8 @@
 // edges[b] is the number of tokens at which bucket b begins.
 var edges = makeEdges()
 
-// makeEdges spaces the edges by a fifth, at least one token.
+// makeEdges returns edges that grow by a fifth, rounded down, but by at least one
+// token each.
 func makeEdges() [buckets + 1]int {
 	var e [buckets + 1]int
 	for b := 1; b <= buckets; b++ {
@@ -17,8 +18,8 @@
 	return e
 }
 
-// smallBuckets is a table of the buckets of short lengths, which are the most
-// often asked for.
+// smallBuckets is a lookup table with the buckets of short lengths, which are looked
+// up most often.
 var smallBuckets = makeSmallBuckets()
 
 func makeSmallBuckets() [1024]uint8 {
@@ -29,7 +30,7 @@
 	return t
 }
 
-// bucketOf is the bucket of a length; lengths beyond the last edge are in the
+// bucketOf returns the bucket of a length; lengths beyond the last edge are in the
 // last bucket.
 func bucketOf(n int) int {
 	if n >= 0 && n < len(smallBuckets) {
@@ -43,71 +44,75 @@
 	return min(b, buckets-1)
 }
 
-// MaxTokens is the longest output that a Curve tells apart.
+// MaxTokens returns the upper end of the last bucket in tokens. A Curve gives no
+// output a chance of reaching it.
 func MaxTokens() int { return edges[buckets] }
 
-// Curve is a distribution of output lengths. It is immutable.
+// Curve is a distribution of output lengths, kept as a survival function. It is
+// immutable.
 type Curve struct {
-	// alive[b] is the share of sequences that reach edges[b].
-	alive [buckets + 1]float32
-	// rest[b] is the sum over all tokens from edges[b] on of the share alive,
-	// from which the mean remaining length follows.
-	rest [buckets + 1]float32
+	// survival[b] is the share of sequences that reach edges[b] tokens.
+	survival [buckets + 1]float32
+	// tail[b] is the integral of the survival function from edges[b] on, from
+	// which the mean remaining length follows.
+	tail [buckets + 1]float32
 }
 
-// finish closes the last bucket and fills rest.
-func (c *Curve) finish() {
-	c.alive[buckets] = 0
+// fillTail sets the survival at the last edge to zero and computes tail.
+func (c *Curve) fillTail() {
+	c.survival[buckets] = 0
 	for b := buckets - 1; b >= 0; b-- {
 		width := float32(edges[b+1] - edges[b])
-		c.rest[b] = c.rest[b+1] + width*(c.alive[b]+c.alive[b+1])/2
+		c.tail[b] = c.tail[b+1] + width*(c.survival[b]+c.survival[b+1])/2
 	}
 }
 
-// Alive is the share of sequences longer than n tokens, linear within a bucket.
-func (c *Curve) Alive(n int) float64 {
+// Survival returns the share of sequences that reach n tokens, interpolated
+// linearly within a bucket.
+func (c *Curve) Survival(n int) float64 {
 	if n >= edges[buckets] {
 		return 0
 	}
 	b := bucketOf(n)
-	lo, hi := c.alive[b], c.alive[b+1]
+	lo, hi := c.survival[b], c.survival[b+1]
 	f := float32(n-edges[b]) / float32(edges[b+1]-edges[b])
 	return float64(lo + (hi-lo)*f)
 }
 
-// Beyond is the probability that a sequence that has produced n tokens produces
-// more than m further ones.
-func (c *Curve) Beyond(n, m int) float64 {
-	now := c.Alive(n)
+// ConditionalSurvival returns the probability that a sequence that has produced n
+// tokens produces at least m more.
+func (c *Curve) ConditionalSurvival(n, m int) float64 {
+	now := c.Survival(n)
 	if now <= 0 {
 		return 0
 	}
-	return c.Alive(n+m) / now
+	return c.Survival(n+m) / now
 }
 
-// Mean is the expected number of further tokens after n.
+// Mean returns the expected number of further tokens of a sequence that has produced
+// n tokens, at least 1.
 func (c *Curve) Mean(n int) float64 {
 	if n >= edges[buckets] {
 		return 1
 	}
-	now := c.Alive(n)
+	now := c.Survival(n)
 	if now <= 0 {
 		return 1
 	}
 	b := bucketOf(n)
-	part := float64(edges[b+1]-n) * (now + float64(c.alive[b+1])) / 2
-	return max(1, (part+float64(c.rest[b+1]))/now)
+	part := float64(edges[b+1]-n) * (now + float64(c.survival[b+1])) / 2
+	return max(1, (part+float64(c.tail[b+1]))/now)
 }
 
-// Quantile is the number of further tokens after n that is not exceeded with
-// probability q.
+// Quantile returns the number of further tokens, at least 1, that a sequence that
+// has produced n tokens does not exceed with probability q.
 func (c *Curve) Quantile(n int, q float64) int {
-	target := c.Alive(n) * (1 - q)
-	b := sort.Search(buckets, func(b int) bool { return float64(c.alive[b+1]) <= target })
+	target := c.Survival(n) * (1 - q)
+	b := sort.Search(buckets, func(b int) bool { return float64(c.survival[b+1]) <= target })
 	if b >= buckets {
 		return max(1, edges[buckets]-n)
 	}
-	lo, hi := float64(c.alive[b]), float64(c.alive[b+1])
+	lo, hi := float64(c.survival[b]), float64(c.survival[b+1])
 	at := float64(edges[b+1])
 	if lo > hi {
 		at = float64(edges[b]) + float64(edges[b+1]-edges[b])*(lo-target)/(lo-hi)
--- a/core/estimate/estimate_test.go
+++ b/core/estimate/estimate_test.go
@@ -11,6 +11,7 @@
 	"almondseam.dev/core/api"
 )
 
+// lognormal returns a random length of at least 1 from a lognormal distribution.
 func lognormal(rng *rand.Rand, median, sigma float64) int {
 	return max(1, int(median*math.Exp(sigma*rng.NormFloat64())))
 }
@@ -23,9 +24,9 @@
 	qt.Check(t, bucketOf(1<<30), qt.Equals, buckets-1)
 }
 
-// TestCalibration: of 100 answers about 90 stay under the 90% bound, asked at
-// the start and after 100 tokens, while the lengths drift to three times as long
-// in the middle of the run.
+// TestCalibration checks that about 90 of 100 outputs stay within the predicted 90%
+// quantile, both at the start and after 100 tokens, although lengths triple in the
+// middle of the run. The first 300 outputs and the 900 after the change do not count.
 func TestCalibration(t *testing.T) {
 	for seed := range uint64(5) {
 		rng := rand.New(rand.NewPCG(seed, 2))
@@ -58,9 +59,9 @@
 	}
 }
 
-// TestCensored: short answers end first, so an estimator that learns from ended
-// ones alone takes the rest for short as well. Sequences still running must
-// count.
+// TestCensored guards against an estimator that learns from ended sequences only:
+// since short outputs end first, it would take the others for short as well.
+// Sequences that still run must count.
 func TestCensored(t *testing.T) {
 	e := New(Config{})
 	k := Key{Kind: "note"}
@@ -68,7 +69,7 @@
 		e.Observe(k, 0, 10, true)
 		e.Observe(k, 0, 1000, false)
 	}
-	got := e.Curve(k).Alive(900)
+	got := e.Curve(k).Survival(900)
 	qt.Check(t, math.Abs(got-0.5) < 0.07, qt.IsTrue, qt.Commentf("%.3f", got))
 }
 
@@ -76,13 +77,13 @@
 	cases := []struct {
 		name string
 		key  Key
-		// mean is the mean length expected, within a fifth.
+		// mean is the expected mean length; the estimate must be within 20%.
 		mean float64
 	}{
 		{"own data", Key{"big", "m1", "note"}, 400},
-		{"new customer takes the model's", Key{"new", "m1", "note"}, 400},
-		{"new model takes the kind's", Key{"new", "m9", "note"}, 400},
-		{"other kind apart", Key{"big", "m1", "tag"}, 10},
+		{"new customer uses the lengths of the model", Key{"new", "m1", "note"}, 400},
+		{"new model uses the lengths of the kind", Key{"new", "m9", "note"}, 400},
+		{"kinds are kept apart", Key{"big", "m1", "tag"}, 10},
 	}
 	e := New(Config{})
 	for range 1000 {
@@ -114,10 +115,11 @@
 	qt.Check(t, math.Abs(got/(sum/n)-1) < 0.1, qt.IsTrue, qt.Commentf("%.1f, sample %.1f", got, sum/n))
 }
 
-// TestShiftIsSeenEarly: lengths treble at once; after 40 answers under the new
-// lengths, far fewer than the half-life of the counts, the bound holds again. It
-// errs a little to the safe side (scaled hazards give a heavier tail than longer
-// lengths do); without the comparison of ends it held 0.70.
+// TestShiftIsSeenEarly triples all lengths at once. After 40 outputs of the new
+// lengths, far fewer than the half-life of the counts, the 90% quantile must hold
+// again. It may hold slightly more often than that, since scaled hazards give a
+// heavier tail than longer lengths do. Without the comparison of observed and
+// expected ends it held for a share of only 0.70.
 func TestShiftIsSeenEarly(t *testing.T) {
 	var asked, held int
 	for seed := range uint64(20) {
--- a/core/estimate/reading.go
+++ b/core/estimate/reading.go
@@ -2,54 +2,61 @@
 
 import "time"
 
-// Reading estimates how fast the engines of one service read prompts beside their
-// running streams, in tokens a second. The zero value is ready; it is not safe for
-// concurrent use.
+// Reading estimates how fast the inference engines of one service process prompts
+// (prefill) while other sequences run, in tokens per second. The zero value is
+// ready to use. It is not safe for concurrent use.
 type Reading struct {
+	// tokens and seconds are the weighted sums of the prompt tokens observed and
+	// of the time that they took.
 	tokens  float64
 	seconds float64
 }
 
 const (
-	// usualReading holds until engines have been seen to read, in tokens a second.
-	usualReading = 7000.0
-	// usualWeight is how many tokens that first value counts for.
-	usualWeight = 30_000.0
-	// readingKept is how many tokens an estimate is made of: older ones fade.
-	readingKept = 300_000.0
-	// leastReading and mostReading bound the estimate, in tokens a second: an engine
-	// that answers at once, or never, says nothing of the others.
-	leastReading = 500.0
-	mostReading  = 500_000.0
+	// defaultPrefillSpeed is the estimate before the first observation, in tokens
+	// per second.
+	defaultPrefillSpeed = 7000.0
+	// defaultWeight is the number of observed tokens that the default counts for.
+	defaultWeight = 30_000.0
+	// maxWeightTokens is the maximum number of tokens that an estimate is based
+	// on. Beyond it, the weight of older observations decays.
+	maxWeightTokens = 300_000.0
+	// minPrefillSpeed and maxPrefillSpeed limit each observed speed and so the
+	// estimate, in tokens per second: an engine that responds at once, or never,
+	// says nothing about the other engines.
+	minPrefillSpeed = 500.0
+	maxPrefillSpeed = 500_000.0
 )
 
-// Learn takes that an engine began to answer after a time in which it had so many
-// tokens to read. What can't be is left out.
+// Learn records that an engine that had to process the given number of prompt
+// tokens began to respond after the time took. It ignores values that are not
+// positive.
 func (r *Reading) Learn(tokens int, took time.Duration) {
 	if tokens <= 0 || took <= 0 {
 		return
 	}
-	speed := min(max(float64(tokens)/took.Seconds(), leastReading), mostReading)
-	r.start()
+	speed := min(max(float64(tokens)/took.Seconds(), minPrefillSpeed), maxPrefillSpeed)
+	r.setDefault()
 	r.tokens += float64(tokens)
 	r.seconds += float64(tokens) / speed
-	if r.tokens > readingKept {
-		fade := readingKept / r.tokens
-		r.tokens *= fade
-		r.seconds *= fade
+	if r.tokens > maxWeightTokens {
+		scale := maxWeightTokens / r.tokens
+		r.tokens *= scale
+		r.seconds *= scale
 	}
 }
 
-// Speed is the estimate in tokens a second.
+// Speed returns the estimate in tokens per second.
 func (r *Reading) Speed() float64 {
 	if r.seconds == 0 {
-		return usualReading
+		return defaultPrefillSpeed
 	}
 	return r.tokens / r.seconds
 }
 
-func (r *Reading) start() {
+// setDefault sets the sums for the default speed if nothing was observed yet.
+func (r *Reading) setDefault() {
 	if r.seconds == 0 {
-		r.tokens, r.seconds = usualWeight, usualWeight/usualReading
+		r.tokens, r.seconds = defaultWeight, defaultWeight/defaultPrefillSpeed
 	}
 }
--- a/core/estimate/reading_test.go
+++ b/core/estimate/reading_test.go
@@ -8,13 +8,14 @@
 	qt "github.com/frankban/quicktest"
 )
 
-// Engines read at half or twice the speed that is taken at the start. The estimate
-// follows within some tens of prompts, and follows back.
+// Engines process prompts at half, once or twice the default speed. The estimate
+// must be within 10% of their speed after 300 prompts, and return to the default
+// speed when the engines do.
 func TestReadingFollowsTheEngines(t *testing.T) {
-	for _, speed := range []float64{usualReading / 2, usualReading, 2 * usualReading} {
+	for _, speed := range []float64{defaultPrefillSpeed / 2, defaultPrefillSpeed, 2 * defaultPrefillSpeed} {
 		c := qt.New(t)
 		var r Reading
-		c.Assert(r.Speed(), qt.Equals, usualReading)
+		c.Assert(r.Speed(), qt.Equals, defaultPrefillSpeed)
 		learn := func(speed float64) {
 			for range 300 {
 				r.Learn(3000, time.Duration(3000/speed*float64(time.Second)))
@@ -22,13 +23,14 @@
 		}
 		learn(speed)
 		c.Assert(math.Abs(r.Speed()/speed-1) < 0.1, qt.IsTrue, qt.Commentf("%v instead of %v", r.Speed(), speed))
-		learn(usualReading)
-		c.Assert(math.Abs(r.Speed()/usualReading-1) < 0.1, qt.IsTrue, qt.Commentf("%v", r.Speed()))
+		learn(defaultPrefillSpeed)
+		c.Assert(math.Abs(r.Speed()/defaultPrefillSpeed-1) < 0.1, qt.IsTrue, qt.Commentf("%v", r.Speed()))
 	}
 }
 
-// A target that answers at once, takes for ever, or reports nonsense must not move the
-// estimate out of its bounds, or no request would find an engine that is in time.
+// A target that responds at once, takes very long or reports impossible values must
+// not move the estimate out of its limits. Otherwise no engine would be expected to
+// meet the deadline of any request.
 func TestReadingStaysInItsBounds(t *testing.T) {
 	c := qt.New(t)
 	for _, tt := range []struct {
@@ -39,6 +41,6 @@
 		for range 1000 {
 			r.Learn(tt.tokens, tt.took)
 		}
-		c.Assert(r.Speed() >= leastReading && r.Speed() <= mostReading, qt.IsTrue, qt.Commentf("%+v: %v", tt, r.Speed()))
+		c.Assert(r.Speed() >= minPrefillSpeed && r.Speed() <= maxPrefillSpeed, qt.IsTrue, qt.Commentf("%+v: %v", tt, r.Speed()))
 	}
 }
