--- a/core/estimate/reading.go
+++ b/core/estimate/reading.go
@@ -2,10 +2,10 @@
 
 import "time"
 
-// Reading estimates how fast the inference engines of one service process prompts
-// (prefill) while other sequences run, in tokens per second. The zero value is
-// ready to use. It is not safe for concurrent use.
-type Reading struct {
+// PrefillEstimator estimates how fast the inference engines of one service process
+// prompts (prefill) while other sequences run, in tokens per second. The zero value
+// is ready to use. It is not safe for concurrent use.
+type PrefillEstimator struct {
 	// tokens and seconds are the weighted sums of the prompt tokens observed and
 	// of the time that they took.
 	tokens  float64
@@ -28,10 +28,9 @@
 	maxPrefillSpeed = 500_000.0
 )
 
-// Learn records that an engine that had to process the given number of prompt
-// tokens began to respond after the time took. It ignores values that are not
-// positive.
-func (r *Reading) Learn(tokens int, took time.Duration) {
+// Observe records that an engine that had to process `tokens` prompt tokens began to
+// respond after the duration `took`. It ignores values that are not positive.
+func (r *PrefillEstimator) Observe(tokens int, took time.Duration) {
 	if tokens <= 0 || took <= 0 {
 		return
 	}
@@ -47,7 +46,7 @@
 }
 
 // Speed returns the estimate in tokens per second.
-func (r *Reading) Speed() float64 {
+func (r *PrefillEstimator) Speed() float64 {
 	if r.seconds == 0 {
 		return defaultPrefillSpeed
 	}
@@ -55,7 +54,7 @@
 }
 
 // setDefault sets the sums for the default speed if nothing was observed yet.
-func (r *Reading) setDefault() {
+func (r *PrefillEstimator) setDefault() {
 	if r.seconds == 0 {
 		r.tokens, r.seconds = defaultWeight, defaultWeight/defaultPrefillSpeed
 	}
--- a/core/estimate/reading_test.go
+++ b/core/estimate/reading_test.go
@@ -14,16 +14,16 @@
 func TestReadingFollowsTheEngines(t *testing.T) {
 	for _, speed := range []float64{defaultPrefillSpeed / 2, defaultPrefillSpeed, 2 * defaultPrefillSpeed} {
 		c := qt.New(t)
-		var r Reading
+		var r PrefillEstimator
 		c.Assert(r.Speed(), qt.Equals, defaultPrefillSpeed)
-		learn := func(speed float64) {
+		observe := func(speed float64) {
 			for range 300 {
-				r.Learn(3000, time.Duration(3000/speed*float64(time.Second)))
+				r.Observe(3000, time.Duration(3000/speed*float64(time.Second)))
 			}
 		}
-		learn(speed)
+		observe(speed)
 		c.Assert(math.Abs(r.Speed()/speed-1) < 0.1, qt.IsTrue, qt.Commentf("%v instead of %v", r.Speed(), speed))
-		learn(defaultPrefillSpeed)
+		observe(defaultPrefillSpeed)
 		c.Assert(math.Abs(r.Speed()/defaultPrefillSpeed-1) < 0.1, qt.IsTrue, qt.Commentf("%v", r.Speed()))
 	}
 }
@@ -37,9 +37,9 @@
 		tokens int
 		took   time.Duration
 	}{{0, time.Second}, {-5, time.Second}, {3000, 0}, {3000, -time.Second}, {1, time.Hour}, {math.MaxInt32, 1}, {3000, math.MaxInt64}} {
-		var r Reading
+		var r PrefillEstimator
 		for range 1000 {
-			r.Learn(tt.tokens, tt.took)
+			r.Observe(tt.tokens, tt.took)
 		}
 		c.Assert(r.Speed() >= minPrefillSpeed && r.Speed() <= maxPrefillSpeed, qt.IsTrue, qt.Commentf("%+v: %v", tt, r.Speed()))
 	}
--- a/node/relay/reading.go
+++ b/node/relay/reading.go
@@ -12,17 +12,17 @@
 // for concurrent use.
 type readingSpeeds struct {
 	mu sync.Mutex
-	by map[api.ServiceID]*estimate.Reading
+	by map[api.ServiceID]*estimate.PrefillEstimator
 }
 
 func newReadingSpeeds() *readingSpeeds {
-	return &readingSpeeds{by: make(map[api.ServiceID]*estimate.Reading)}
+	return &readingSpeeds{by: make(map[api.ServiceID]*estimate.PrefillEstimator)}
 }
 
-func (r *readingSpeeds) service(s api.ServiceID) *estimate.Reading {
+func (r *readingSpeeds) service(s api.ServiceID) *estimate.PrefillEstimator {
 	one := r.by[s]
 	if one == nil {
-		one = &estimate.Reading{}
+		one = &estimate.PrefillEstimator{}
 		r.by[s] = one
 	}
 	return one
@@ -36,7 +36,7 @@
 	}
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.service(s).Learn(tokens, took)
+	r.service(s).Observe(tokens, took)
 }
 
 // of gives the speed in tokens a second.
