--- a/core/placement/bench_test.go
+++ b/core/placement/bench_test.go
@@ -6,7 +6,7 @@
 	"testing"
 )
 
-// BenchmarkPick is a choice with room asked for, by the number of engines.
+// BenchmarkPick measures one choice with a Room requirement, by the number of engines.
 func BenchmarkPick(b *testing.B) {
 	for _, n := range []int{44, 740, 7400} {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
--- a/core/placement/large.go
+++ b/core/placement/large.go
@@ -3,37 +3,40 @@
 import "math"
 
 const (
-	// largeShare is the part of an engine's memory from which on a request is large.
+	// largeShare is the fraction of an engine's memory from which a request counts as
+	// large.
 	largeShare = 0.2
-	// largeRoom is the part of an engine's memory that a large request finds free at an
-	// engine that is kept for such requests.
+	// largeRoom is the fraction of its memory that an engine must have free to be
+	// reserved for large requests.
 	largeRoom = 0.25
-	// keptLarge is the part of the engines that are kept for large requests.
-	keptLarge = 0.15
+	// reservedShare is the largest fraction of the engines that is reserved for large
+	// requests.
+	reservedShare = 0.15
 )
 
-// withoutKept leaves out the engines that are kept for large requests, unless the
-// request is one.
+// excludeReserved removes the engines that are reserved for large requests from
+// eligible, unless the request itself is large or leaves enough room for a large one.
 //
-// Load pattern: more is asked of the engines than they hold. Small requests fit
-// wherever a stream has ended, a large one only where several have; before that
-// happens the next small one takes the room. The last engines with much room are left
-// to large requests, which are few, and go to others as soon as there are more of them.
-func withoutKept(list []Candidate, eligible []int, need Need) []int {
+// Load pattern: demand exceeds the memory of the engines. A small request fits wherever
+// one stream has ended, a large one only where several have, and before that happens the
+// next small request takes the room. Therefore the last engines with much free memory are
+// reserved for large requests, which are rare. Small requests may use them again as soon
+// as more than reservedShare of the engines have that much room.
+func excludeReserved(list []Candidate, eligible []int, need Need) []int {
 	if need.Room == nil {
 		return eligible
 	}
-	engines, spacious := 0, 0
+	engines, withLargeRoom := 0, 0
 	for i := range list {
 		if list[i].Excluded {
 			continue
 		}
 		engines++
 		if need.Room.hasLargeRoom(&list[i], 0) {
-			spacious++
+			withLargeRoom++
 		}
 	}
-	if spacious > int(math.Ceil(keptLarge*float64(engines))) || engines == 1 {
+	if withLargeRoom > int(math.Ceil(reservedShare*float64(engines))) || engines == 1 {
 		return eligible
 	}
 	out := eligible[:0]
@@ -50,9 +53,9 @@
 	return float64(tokens) >= largeShare*float64(c.Capacity)
 }
 
-// hasLargeRoom tells whether an engine has room for a large request beside so many
-// tokens.
-func (r *Room) hasLargeRoom(c *Candidate, beside int) bool {
-	return c.Capacity > 0 && !c.Excluded && !c.Full && c.Unread <= unreadRoom &&
-		c.fits(beside+int(largeRoom*float64(c.Capacity)), r.Fill)
+// hasLargeRoom reports whether an engine that holds the given number of additional tokens
+// still has room for a large request.
+func (r *Room) hasLargeRoom(c *Candidate, extra int) bool {
+	return c.Capacity > 0 && !c.Excluded && !c.Full && c.Unread <= maxUnread &&
+		c.fits(extra+int(largeRoom*float64(c.Capacity)), r.Fill)
 }
--- a/core/placement/large_test.go
+++ b/core/placement/large_test.go
@@ -6,8 +6,9 @@
 	qt "github.com/frankban/quicktest"
 )
 
-// Whether a request of so many tokens is given the one engine with much room, among ten
-// of 10,000 tokens each.
+// Guards against small requests taking the last large blocks of free memory, so that no
+// large request is placed under overload. The engines have 10,000 tokens each; expect tells
+// whether any of them is chosen for a request of the given size.
 func TestLastEnginesWithMuchRoomAreKeptForLargeRequests(t *testing.T) {
 	fleet := func(last ...Candidate) []Candidate {
 		list := make([]Candidate, 0, 10)
@@ -22,16 +23,16 @@
 		tokens int
 		expect bool
 	}{
-		{"a small one would take the room", fleet(engine(7_500)), 1_000, false},
-		{"a large one may", fleet(engine(7_500)), 2_000, true},
-		{"a small one may where much is left", fleet(engine(6_000)), 1_000, true},
-		{"a small one where there are many such engines", fleet(engine(7_500), engine(7_500), engine(7_500)), 1_000, true},
-		{"a small one where there is room for no large one", fleet(engine(8_000)), 1_000, true},
-		{"the only engine is kept for nobody", []Candidate{engine(7_500)}, 1_000, true},
-		{"nor is a plain service", []Candidate{{Slots: 6}, {Slots: 6}}, 1_000, true},
+		{"small request, one engine with room for a large one", fleet(engine(7_500)), 1_000, false},
+		{"large request, one engine with room for a large one", fleet(engine(7_500)), 2_000, true},
+		{"small request that leaves room for a large one", fleet(engine(6_000)), 1_000, true},
+		{"small request, several engines with room for a large one", fleet(engine(7_500), engine(7_500), engine(7_500)), 1_000, true},
+		{"small request, no engine with room for a large one", fleet(engine(8_000)), 1_000, true},
+		{"small request, the only engine is never reserved", []Candidate{engine(7_500)}, 1_000, true},
+		{"plain services are never reserved", []Candidate{{Slots: 6}, {Slots: 6}}, 1_000, true},
 	} {
 		t.Run(tt.name, func(t *testing.T) {
-			got := Pick(tt.list, Need{Tokens: tt.tokens, Room: &Room{Fill: admitFill, Unread: unreadRoom}}, draws())
+			got := Pick(tt.list, Need{Tokens: tt.tokens, Room: &Room{Fill: admitFill, Unread: maxUnread}}, draws())
 			qt.New(t).Assert(got >= 0, qt.Equals, tt.expect)
 		})
 	}
--- a/core/placement/placement.go
+++ b/core/placement/placement.go
@@ -1,7 +1,7 @@
-// Package placement chooses the target of a request among those that announce
-// themselves, from what one entry knows of them. It is pure: a Filter leaves out
-// what must not be asked, a Scorer weighs the rest, and a Picker takes the best of
-// two drawn at random.
+// Package placement chooses the target of a request among the announced targets, from one
+// entry's view of their load. It is pure: Pick filters out the targets that must not be
+// used, draws a random sample of the rest, scores each target in the sample by its load
+// and returns the one with the lowest score.
 package placement
 
 import (
@@ -10,83 +10,86 @@
 	"almondseam.dev/core/api"
 )
 
-// Candidate is a target at the time of the choice.
+// Candidate describes a target at the time of the choice.
 type Candidate struct {
 	Zone api.Zone
-	// Slots is how many requests the target runs at once; Running how many are
-	// known to be there.
+	// Slots is the number of requests that the target runs at once; zero if unknown.
+	// Running is the number of requests known to be at the target.
 	Slots   int
 	Running int
-	// Tokens is the memory that those are expected to take, of Capacity; both are
-	// zero for a plain service.
+	// Tokens is the expected memory use of the target, in tokens. Capacity is its total
+	// memory; zero for a plain service, or if unknown.
 	Tokens   int
 	Capacity int
-	// Unread is the part of the prompts there, in tokens, that is still to be read
-	// before their answers begin.
+	// Unread is the number of prompt tokens at the target that are not yet processed
+	// (prefilled).
 	Unread int
-	// Cold targets are still slow after their start.
+	// Cold is set while the target is still slow after its start.
 	Cold bool
-	// Avoid is set for a while after a failure.
+	// Avoid is set for a while after a failure of the target.
 	Avoid bool
-	// Full targets have refused a reservation of late.
+	// Full is set for a short time after the target has refused a reservation.
 	Full bool
-	// Excluded targets must not be asked.
+	// Excluded targets must not be chosen.
 	Excluded bool
 }
 
-// Need is what a request asks of its target.
+// Need describes what a request requires of its target.
 type Need struct {
 	Zone   api.Zone
 	Tokens int
-	// ZoneWeight is what a target in another zone counts more, in parts of its
-	// load; zero takes the usual one.
+	// ZoneWeight is the penalty for a target in another availability zone, in the
+	// unit of a target's load; zero means zonePenalty.
 	ZoneWeight float64
-	// Fill leaves out targets of which more than this part would be taken with the
-	// request, and those that have just failed; zero leaves out none for that.
+	// Fill excludes targets whose memory use, the request included, would exceed this
+	// fraction of their capacity. It also excludes targets with Avoid set. Zero
+	// excludes none.
 	Fill float64
-	// Draws is how many targets are drawn, the best of which is taken; zero takes
-	// all. See DrawsFor.
+	// Draws is the size of the random sample from which the best target is taken;
+	// zero samples all targets. See DrawsFor.
 	Draws int
-	// Room leaves out targets without room for the request; nil leaves out none.
+	// Room excludes targets without room for the request; nil excludes none.
 	Room *Room
-	// Even treats all targets that have room as equally loaded.
+	// Even treats all targets that have room for the request as equally loaded.
 	Even bool
 }
 
 const (
-	// otherZone is what a target in another zone counts more, in parts of its
-	// load: a crossing costs a millisecond and bytes that are paid for, which is
-	// less than waiting behind one more request.
-	otherZone = 0.03
-	// coldLoad is what a target counts more while it is slow after its start.
-	coldLoad = 0.5
-	// unreadFull is how many unread tokens weigh as much as a target that is full: a
-	// second or so of reading, about half of what a first event may take.
-	unreadFull = 10_000
-	// avoidLoad puts a target that has just failed behind all that have not.
-	avoidLoad = 100
+	// zonePenalty is added to the score of a target in another availability zone, in
+	// the unit of a target's load. A request that crosses zones costs a millisecond
+	// and the charge for its traffic, which is less than the cost of waiting behind
+	// one more request.
+	zonePenalty = 0.03
+	// coldPenalty is added to the score of a target that is slow after its start.
+	coldPenalty = 0.5
+	// unreadPerLoad is the number of unprocessed prompt tokens that count as much as
+	// a full target: about a second of prefill, half of the time allowed until the
+	// first event.
+	unreadPerLoad = 10_000
+	// avoidPenalty ranks a target that has just failed behind all others.
+	avoidPenalty = 100
 )
 
-// Pick gives the index of the chosen candidate, -1 if none may be asked. draw is
-// uniform in [0,1).
+// Pick returns the index of the chosen candidate, or -1 if none may be used. draw returns
+// uniform random numbers in [0,1).
 func Pick(list []Candidate, need Need, draw func() float64) int {
 	eligible := filter(list, need)
-	if need.Room != nil && !need.Room.spares(list) {
+	if need.Room != nil && !need.Room.leavesSpare(list) {
 		return -1
 	}
-	eligible = withoutKept(list, eligible, need)
-	eligible = drawn(eligible, need.Draws, draw)
+	eligible = excludeReserved(list, eligible, need)
+	eligible = sample(eligible, need.Draws, draw)
 	if len(eligible) == 0 {
 		return -1
 	}
-	breadth := noise
+	noiseRange := scoreNoise
 	if need.Even {
-		breadth = 1
+		noiseRange = 1
 	}
 	best, bestScore := -1, 0.0
 	for _, i := range eligible {
-		// Noise keeps entries that see the same loads from choosing the same target.
-		s := score(&list[i], need) + draw()*breadth
+		// Random noise keeps entries that see the same loads from choosing the same target.
+		s := score(&list[i], need) + draw()*noiseRange
 		if best < 0 || s < bestScore {
 			best, bestScore = i, s
 		}
@@ -94,22 +97,25 @@
 	return best
 }
 
-// drawsPerShare is how many targets are drawn for each target that there is for an
-// entry.
+// drawsPerShare is the number of targets sampled per target in one entry's share, which
+// is the number of targets divided by the number of entries.
 const drawsPerShare = 20
 
-// DrawsFor gives how many of the targets each choice should draw.
+// DrawsFor returns the size of the random sample that each choice should draw from the
+// targets.
 //
 // Load pattern: thirty entries send sixty prompts a second to forty engines, and each
-// learns of the others' choices some milliseconds late. If all choose the least loaded
-// engine, several prompts arrive there before any load report does; from a random sample
-// the entries choose different ones. With few entries the sample is the whole list.
+// entry learns of the others' choices some milliseconds late. If all entries chose the
+// least loaded engine, several prompts would arrive there before the next load report.
+// With random samples the entries choose different engines. With few entries the sample
+// is the whole list.
 func DrawsFor(targets, entries int) int {
 	return max(2, drawsPerShare*targets/max(entries, 1))
 }
 
-// drawn gives some of the eligible, all of them if there are no more or draws is 0.
-func drawn(eligible []int, draws int, draw func() float64) []int {
+// sample returns a random sample of draws elements of eligible without repetition, or all
+// of eligible if draws is 0 or not smaller than its length. It reorders eligible.
+func sample(eligible []int, draws int, draw func() float64) []int {
 	if draws == 0 || draws >= len(eligible) {
 		return eligible
 	}
@@ -120,14 +126,14 @@
 	return eligible[:draws]
 }
 
-// evenRoom is up to which part of its memory a target has room for a run that is
-// moved there.
-const evenRoom = 0.85
+// evenFill is the fraction of its memory up to which a target counts as having room for a
+// migrated run, which is placed with Need.Even.
+const evenFill = 0.85
 
-// noise is the breadth of the random part of a score, in parts of a target's load.
-const noise = 0.02
+// scoreNoise is the range of the random part of a score, in the unit of a target's load.
+const scoreNoise = 0.02
 
-// filter gives the indexes of candidates that may be asked.
+// filter returns the indexes of the candidates that may be used.
 func filter(list []Candidate, need Need) []int {
 	out := make([]int, 0, len(list))
 	for i := range list {
@@ -138,7 +144,7 @@
 		if need.Fill > 0 && (c.Avoid || !c.fits(need.Tokens, need.Fill)) {
 			continue
 		}
-		if need.Room != nil && !need.Room.in(c, need.Tokens) {
+		if need.Room != nil && !need.Room.admits(c, need.Tokens) {
 			continue
 		}
 		out = append(out, i)
@@ -146,8 +152,8 @@
 	return out
 }
 
-// Taken is the part of the memory of all targets together that is taken, as far as they
-// may be asked.
+// Taken returns the fraction of the total memory of all targets that is in use. Excluded
+// targets are not counted.
 func Taken(list []Candidate) float64 {
 	tokens, capacity := 0, 0
 	for i := range list {
@@ -162,29 +168,33 @@
 	return float64(tokens) / float64(capacity)
 }
 
-// fits tells whether a request leaves the target within a part of its memory.
+// fits reports whether the memory use of the target, with the given tokens added, stays
+// within the fraction fill of its capacity.
 func (c *Candidate) fits(tokens int, fill float64) bool {
 	return c.Tokens+tokens <= int(fill*float64(c.Capacity))
 }
 
-// score gives the load of a target with the request on it, lower is better.
+// score returns the load of a target with the request added, plus penalties; lower is
+// better.
 func score(c *Candidate, need Need) float64 {
 	s := load(c, need)
 	if c.Zone != need.Zone {
-		s += cmp.Or(need.ZoneWeight, otherZone)
+		s += cmp.Or(need.ZoneWeight, zonePenalty)
 	}
 	if c.Cold {
-		s += coldLoad
+		s += coldPenalty
 	}
 	if c.Avoid {
-		s += avoidLoad
+		s += avoidPenalty
 	}
 	return s
 }
 
-// load gives the part of a target that is taken with the request on it.
+// load returns the load of a target with the request added: the larger of the fractions
+// of slots and of memory in use, plus a term for unprocessed prompts. 1 is a full target.
+// With Need.Even it is 0 for every target that has room.
 func load(c *Candidate, need Need) float64 {
-	if need.Even && c.fits(need.Tokens, evenRoom) {
+	if need.Even && c.fits(need.Tokens, evenFill) {
 		return 0
 	}
 	s := 0.0
@@ -194,5 +204,5 @@
 	if c.Capacity > 0 {
 		s = max(s, float64(c.Tokens+need.Tokens)/float64(c.Capacity))
 	}
-	return s + float64(c.Unread)/unreadFull
+	return s + float64(c.Unread)/unreadPerLoad
 }
--- a/core/placement/placement_test.go
+++ b/core/placement/placement_test.go
@@ -9,7 +9,7 @@
 
 func draws() func() float64 { return rand.New(rand.NewPCG(1, 2)).Float64 }
 
-// Which of two targets a request goes to.
+// Checks which of two targets a request goes to, for each property that affects the score.
 func TestPick(t *testing.T) {
 	engine := func(running, tokens, unread int) Candidate {
 		return Candidate{Zone: "a", Slots: 24, Running: running, Tokens: tokens, Capacity: 34_000, Unread: unread}
@@ -21,13 +21,13 @@
 		other Candidate
 		want  int
 	}{
-		{"less memory taken", engine(3, 20_000, 0), engine(3, 10_000, 0), 1},
-		{"fewer prompts to read before its own", engine(3, 10_000, 9_000), engine(4, 12_000, 0), 1},
-		{"its own zone, all else equal", with(engine(3, 10_000, 0), func(c *Candidate) { c.Zone = "b" }), engine(3, 10_000, 0), 1},
-		{"another zone rather than a full one", engine(12, 30_000, 6_000), with(engine(1, 3_000, 0), func(c *Candidate) { c.Zone = "b" }), 1},
-		{"not one that has just failed", with(engine(0, 0, 0), func(c *Candidate) { c.Avoid = true }), engine(20, 33_000, 0), 1},
-		{"one that has just failed rather than none", with(engine(0, 0, 0), func(c *Candidate) { c.Avoid = true }), with(engine(0, 0, 0), func(c *Candidate) { c.Excluded = true }), 0},
-		{"never one that is too small", with(engine(0, 0, 0), func(c *Candidate) { c.Capacity = 1000 }), engine(20, 33_000, 0), 1},
+		{"less memory in use", engine(3, 20_000, 0), engine(3, 10_000, 0), 1},
+		{"fewer unprocessed prompt tokens", engine(3, 10_000, 9_000), engine(4, 12_000, 0), 1},
+		{"same zone, all else equal", with(engine(3, 10_000, 0), func(c *Candidate) { c.Zone = "b" }), engine(3, 10_000, 0), 1},
+		{"another zone rather than a full target", engine(12, 30_000, 6_000), with(engine(1, 3_000, 0), func(c *Candidate) { c.Zone = "b" }), 1},
+		{"not a target that has just failed", with(engine(0, 0, 0), func(c *Candidate) { c.Avoid = true }), engine(20, 33_000, 0), 1},
+		{"a target that has just failed rather than none", with(engine(0, 0, 0), func(c *Candidate) { c.Avoid = true }), with(engine(0, 0, 0), func(c *Candidate) { c.Excluded = true }), 0},
+		{"never a target that is too small", with(engine(0, 0, 0), func(c *Candidate) { c.Capacity = 1000 }), engine(20, 33_000, 0), 1},
 	} {
 		t.Run(tt.name, func(t *testing.T) {
 			draw := draws()
@@ -39,9 +39,10 @@
 	}
 }
 
-// Several entries move the runs of an engine that leaves in one instant. Sent to
-// the one that is emptiest, they would share its link and be late; they go to all
-// that have room alike, and to none that has not.
+// Guards against migrations that all go to the emptiest engine. When an engine drains,
+// several entries migrate its runs at once; at a single destination they would share its
+// link and finish late. With Need.Even they are spread over all engines with room and stay
+// away from a nearly full engine.
 func TestMovesAreSpreadOverAllThatHaveRoom(t *testing.T) {
 	c := qt.New(t)
 	list := []Candidate{
@@ -61,8 +62,8 @@
 	c.Assert(count[3] < 300, qt.IsTrue, qt.Commentf("%v", count))
 }
 
-// A copy of another engine's run must not go to an engine that is too full for it,
-// nor to one that has just failed, even when there is no other.
+// Guards against a copy of a run being placed on an engine whose memory use would exceed
+// Need.Fill, or on an engine that has just failed, even if there is no other engine.
 func TestFillLeavesOutWhatIsTooFull(t *testing.T) {
 	c := qt.New(t)
 	list := []Candidate{{Capacity: 10_000, Tokens: 2_500}, {Capacity: 10_000, Avoid: true}}
@@ -70,8 +71,8 @@
 	c.Assert(Pick(list, Need{Tokens: 1000, Fill: 0.4}, draws()), qt.Equals, 0)
 }
 
-// How full the engines are together; one that leaves does not count, nor do plain
-// services, which have no memory of their own.
+// Checks the total memory use: excluded targets are not counted, and plain services
+// contribute nothing because they have no memory of their own.
 func TestTaken(t *testing.T) {
 	c := qt.New(t)
 	c.Assert(Taken(nil), qt.Equals, 0.0)
--- a/core/placement/room.go
+++ b/core/placement/room.go
@@ -5,89 +5,94 @@
 	"time"
 )
 
-// Room says what an engine must have free for a request to be sent there. Requests
-// without room are queued at the entry, because a queue at the engine cannot be cancelled
-// and a running stream might be preempted.
+// Room is the free capacity that an engine, and the fleet as a whole, must have for a
+// request to be sent. Requests without room are queued at the entry, because a queue at
+// the engine cannot be cancelled and a running stream might be preempted.
 type Room struct {
-	// Fill is up to which part of its memory an engine may be taken with the
-	// request.
+	// Fill is the largest fraction of an engine's memory that may be in use, the
+	// request included.
 	Fill float64
-	// Unread is how many tokens of other prompts may wait there to be read.
+	// Unread is the largest number of unprocessed prompt tokens that the engine may hold.
 	Unread int
-	// Spare is the part of the engines that must have room for one more request besides.
+	// Spare is the fraction of the engines that must be left with room for a typical
+	// request of others, besides the engine that the request takes.
 	Spare float64
 }
 
 const (
-	// admitFill is up to which part of their memory engines are filled.
+	// admitFill is the fraction of its memory up to which an engine is filled.
 	admitFill = 1.0
-	// unreadRoom is how many tokens of other prompts an engine may have to read before
-	// a request of the first rank that has no objective or can't keep it any more, half
-	// as many before others.
-	unreadRoom = 8000
-	// spareRank is the part of the engines with room that other ranks leave to the first.
+	// maxUnread is the number of unprocessed prompt tokens that an engine may hold to be
+	// sent a request of the highest priority that has no objective or can no longer
+	// meet it. Half as many are allowed for requests of lower priority.
+	maxUnread = 8000
+	// spareRank is the fraction of the engines on which requests of lower priority leave
+	// room for requests of the highest priority.
 	spareRank = 0.03
-	// spareLong is the part that the longest generations leave to shorter ones besides.
+	// spareLong is the additional fraction on which the longest generations leave room
+	// for shorter ones.
 	spareLong = 0.06
-	// spareLate is the part that requests which can't begin in time any more leave to
-	// the others.
+	// spareLate is the fraction on which requests that can no longer start in time leave
+	// room for all others.
 	spareLate = 0.5
-	// typicalShare is the part of an engine's memory for which an engine must have
-	// room to count as spare.
+	// typicalShare is the fraction of its memory that an engine must have free to count
+	// as having room for a typical request.
 	typicalShare = 0.15
 )
 
-// Waiting is a request that looks for room.
+// Waiting describes a request that waits for room.
 type Waiting struct {
-	// Rank orders requests, 0 goes first.
+	// Rank is the priority of the request; 0 is the highest.
 	Rank int
-	// Length is the rank of the generation's likely length among those of late, from
-	// 0, the shortest, to 1.
+	// Length is the expected length of the generation, as its rank among recent ones
+	// from 0 (shortest) to 1 (longest).
 	Length float64
-	// Prompt is the length of its prompt in tokens.
+	// Prompt is the length of the prompt in tokens.
 	Prompt int
-	// Left is how long it may take until it begins to answer, zero or less if that
-	// time is over. HasObjective tells that there is such a time at all.
+	// Left is the time left until the answer must start; zero or less if that time has
+	// passed. It is valid only if HasObjective is set.
 	Left         time.Duration
 	HasObjective bool
 }
 
-// startMargin is the part of the time left that reading may take as far as it can be
-// foreseen: other entries send prompts there in the same instant.
+// startMargin is the fraction of the time left that the known prompts may take to process.
+// The rest allows for prompts that other entries send to the same engine at the same time.
 const startMargin = 0.8
 
-// late tells whether the request can't begin in time anywhere, at so many tokens read
-// a second.
-func (w *Waiting) late(speed float64) bool { return w.HasObjective && w.inTime(speed) < 0 }
+// late reports whether the request can no longer start in time on any engine. speed is the
+// number of prompt tokens that an engine processes a second.
+func (w *Waiting) late(speed float64) bool { return w.HasObjective && w.unreadInTime(speed) < 0 }
 
-// inTime gives how many tokens of other prompts an engine may have to read first so
-// that the request begins in time.
-func (w *Waiting) inTime(speed float64) int {
+// unreadInTime returns the largest number of unprocessed prompt tokens that an engine may
+// hold so that the request still starts in time; negative if it cannot.
+func (w *Waiting) unreadInTime(speed float64) int {
 	return int(startMargin*w.Left.Seconds()*speed) - w.Prompt
 }
 
-// unread gives how many tokens of other prompts an engine may have to read first.
-func (w *Waiting) unread(speed float64) int {
+// unreadLimit returns the largest number of unprocessed prompt tokens that an engine may
+// hold to be sent the request.
+func (w *Waiting) unreadLimit(speed float64) int {
 	switch {
 	case w.HasObjective && !w.late(speed):
-		return w.inTime(speed)
+		return w.unreadInTime(speed)
 	case w.Rank > 0:
-		return unreadRoom / 2
+		return maxUnread / 2
 	}
-	return unreadRoom
+	return maxUnread
 }
 
-// RoomFor gives what a request needs among so many engines, which read prompts at so
-// many tokens a second.
+// RoomFor returns the requirement for a request. speed is the number of prompt tokens that
+// an engine processes a second.
 //
-// Load pattern: for some ten seconds the demand for memory exceeds what the engines have,
-// so that some callers can't be served in time whatever is done. Memory given to the
-// shortest generations first serves twice the callers. A prompt that is sent to an engine
-// which can't read it in time is late and takes memory from one that could be in time, so
-// that nearly all are late in the end. So a prompt is sent only where there is time to
-// read it, and a request that is late already leaves room to others, of any rank.
+// Load pattern: for some ten seconds the demand for memory exceeds the capacity of the
+// engines, so that some callers cannot be served in time in any case. Giving memory to the
+// shortest generations first serves twice as many callers. A prompt that is sent to an
+// engine that cannot process it in time is late, and takes memory from a request that
+// could still start in time, until nearly all requests are late. Therefore a prompt is
+// sent only where there is time to process it, and a request that is already late leaves
+// room to others, whatever its priority.
 func RoomFor(w Waiting, speed float64) *Room {
-	room := &Room{Fill: admitFill, Unread: w.unread(speed)}
+	room := &Room{Fill: admitFill, Unread: w.unreadLimit(speed)}
 	switch {
 	case w.late(speed):
 		room.Spare = spareLate
@@ -97,17 +102,18 @@
 	return room
 }
 
-// in tells whether a target has the room. One without memory of its own, as a
-// plain service is, always has.
-func (r *Room) in(c *Candidate, tokens int) bool {
+// admits reports whether a target has room for the request. A target without memory of its
+// own, such as a plain service, always has.
+func (r *Room) admits(c *Candidate, tokens int) bool {
 	if c.Capacity == 0 {
 		return true
 	}
 	return !c.Full && c.Unread <= r.Unread && c.fits(tokens, r.Fill)
 }
 
-// spares tells whether enough engines have room for others.
-func (r *Room) spares(list []Candidate) bool {
+// leavesSpare reports whether enough engines have room for other requests: more than the
+// fraction Spare of all, or all of them.
+func (r *Room) leavesSpare(list []Candidate) bool {
 	if r.Spare == 0 {
 		return true
 	}
