--- a/core/handoff/handoff.go
+++ b/core/handoff/handoff.go
@@ -1,71 +1,71 @@
 // Package handoff decides how a stream is continued when its engine drains or is lost
-// while a caller is reading. It is pure; node/relay carries the decisions out.
+// while a caller is reading. It is pure; node/relay executes the decisions.
 package handoff
 
-// Cause is why a stream has to be continued elsewhere.
+// Cause is the reason why a stream has to be continued on another engine.
 type Cause uint8
 
 // The causes.
 const (
-	// CauseDraining: the engine has said that it drains, and still works.
+	// CauseDraining: the engine has announced that it drains, and still works.
 	CauseDraining Cause = iota + 1
-	// CauseLost: the connection ended or the answer broke off.
+	// CauseLost: the connection was closed or the answer ended early.
 	CauseLost
-	// CauseNoStandby: an engine said that it does not hold the copy it was asked to
-	// continue from.
+	// CauseNoStandby: the stream could not be continued from its standby copy, for
+	// example because the standby engine does not hold it.
 	CauseNoStandby
 )
 
-// Situation is what is known of a stream when it must be continued elsewhere.
+// Situation describes a stream that has to be continued on another engine.
 type Situation struct {
 	Cause Cause
-	// Events is how many events the caller has been given.
+	// Events is the number of events that the caller has received.
 	Events int
-	// Ran tells that the engine may have begun to work on the request.
+	// Ran is set if an engine may have started to work on the request.
 	Ran bool
-	// Resumable streams may be run anew from the event after the last.
+	// Resumable is set if the request may be run again, continuing after the last event.
 	Resumable bool
-	// HasStandby tells that the run's memory was sent to another engine as it grew,
-	// and that this engine is there.
+	// HasStandby is set if the run's memory was copied to a standby engine as it grew
+	// and that engine may be used.
 	HasStandby bool
-	// CanMove tells that the engine can copy a run on demand.
+	// CanMove is set if the engine can copy a run to another engine on demand.
 	CanMove bool
-	// Migrations is how many times the stream has been continued elsewhere.
+	// Migrations is the number of attempts to continue the stream on another engine.
 	Migrations int
 }
 
-// Action is what to do.
+// Action is the way in which a stream is continued.
 type Action uint8
 
 // The actions.
 const (
-	// ActionStay: read on.
+	// ActionStay: keep reading from the current engine.
 	ActionStay Action = iota + 1
-	// ActionFromStandby: end the run, and continue at the engine that has its memory.
+	// ActionFromStandby: end the run and continue it on the engine with its standby copy.
 	ActionFromStandby
-	// ActionMigrate: copy the run while it continues, stop it, and continue at the engine
-	// that has the copy.
+	// ActionMigrate: copy the run while it continues, stop it, and continue it on the
+	// engine that has the copy.
 	ActionMigrate
-	// ActionRestart: run anew after the last event.
+	// ActionRestart: run the request again and continue after the last event.
 	ActionRestart
-	// ActionGiveUp: nothing may be done that would be the same run.
+	// ActionGiveUp: end the stream, because it cannot be continued as the same run.
 	ActionGiveUp
 )
 
-// maxMigrations bounds how often one stream is continued elsewhere: an engine is reclaimed
-// every few seconds at worst, and the longest streams last some twenty.
+// maxMigrations bounds Situation.Migrations for one stream. At worst the stream's engine is
+// reclaimed every few seconds, and the longest streams last about twenty seconds.
 const maxMigrations = 8
 
-// Next decides. A run that has not been seen to start is left where it is when its
-// engine drains: nothing proves that it has not run, and engines work on for as
-// long as most requests take to start.
+// Next returns the action for a stream. A run that has not sent an event yet stays on its
+// engine when that engine drains: nothing proves that the run has not started, and a
+// draining engine works long enough for most requests to start.
 func Next(s Situation) Action {
 	if s.Migrations >= maxMigrations {
 		return giveUpUnlessDraining(s)
 	}
 	switch s.Cause {
 	case CauseDraining:
-		return whenDraining(s)
+		return nextWhenDraining(s)
 	case CauseLost:
 		if s.HasStandby {
 			return ActionFromStandby
@@ -84,7 +84,7 @@
 	return ActionGiveUp
 }
 
-func whenDraining(s Situation) Action {
+func nextWhenDraining(s Situation) Action {
 	switch {
 	case s.Events == 0:
 		return ActionStay
--- a/core/handoff/standby.go
+++ b/core/handoff/standby.go
@@ -2,53 +2,57 @@
 
 import "time"
 
-// Notice is how long an engine works on, at the least, after it has said that it
-// drains, as far as migrations may rely on it: engines are reclaimed 1.5 s after their
-// notice at the earliest, and the last stop needs some of that.
+// Notice is how long migrations may rely on an engine to keep working after it has
+// announced that it drains. Engines are reclaimed 1.5 s after their notice at the earliest,
+// and stopping the last run takes part of that.
 const Notice = 1300 * time.Millisecond
 
 const (
-	// fillMoves: where engines move runs on demand, up to this part of an engine's
-	// memory copies of other engines' runs displace no request.
-	fillMoves = 0.3
-	// fillCopies: where they don't, a stream can be continued from a copy only.
-	fillCopies = 0.85
-	// fleetFill is up to which part of the memory of all engines those that move runs on
-	// demand are given copies.
-	fleetFill = 0.55
+	// fillWithMigration is the fraction of its memory up to which an engine receives
+	// standby copies where engines migrate runs on demand. Up to this fraction the
+	// copies displace no request.
+	fillWithMigration = 0.3
+	// fillWithoutMigration is the fraction where engines do not migrate runs, so that a
+	// stream can only be continued from a standby copy.
+	fillWithoutMigration = 0.85
+	// maxFleetFill is the fraction of the memory of all engines in use up to which
+	// engines that migrate runs on demand receive standby copies.
+	maxFleetFill = 0.55
 )
 
-// StandbyFill gives up to which part of its memory an engine is given the copy of
-// one more stream that starts elsewhere, zero for none; fleet is the part of the memory
-// of all engines that is taken.
+// StandbyFill returns the fraction of its memory up to which an engine receives one more
+// standby copy of a stream that runs on another engine; zero means none. moves tells
+// whether engines migrate runs on demand, and fleet is the fraction of the memory of all
+// engines that is in use.
 //
-// Load pattern: engines two thirds full, a sixth of them reclaimed every few
-// seconds. Copies of streams double what they hold; newcomers wait for memory, and
-// the copies' traffic holds up the moves of the runs that must go. An engine that has
-// just come is empty, but what waits elsewhere needs its room. Kept on nearly empty
-// engines of a fleet that has memory to spare, copies save the streams of engines that
-// crash at quiet hours.
+// Load pattern: engines are two thirds full, and a sixth of them is reclaimed every few
+// seconds. Standby copies double the memory that streams occupy, so that new requests wait
+// for memory, and the traffic of the copies delays the migrations of runs from draining
+// engines. An engine that has just started is empty, but waiting requests need its memory.
+// In a fleet with free memory, copies on nearly empty engines preserve the streams of
+// engines that crash.
 func StandbyFill(moves bool, fleet float64) float64 {
 	switch {
 	case !moves:
-		return fillCopies
-	case fleet > fleetFill:
+		return fillWithoutMigration
+	case fleet > maxFleetFill:
 		return 0
 	}
-	return fillMoves
+	return fillWithMigration
 }
 
-// moveOverhead is what a move takes besides the first copy of its run: the copy of what
-// is new since, the retry's grant, and the last copy after the stop.
+// moveOverhead is the time that a migration takes in addition to the first copy of the run:
+// copying the tokens generated meanwhile, obtaining the retry from the retry budget, and
+// the last copy after the run was stopped.
 const moveOverhead = 50 * time.Millisecond
 
-// MoveTime is how long it takes to move runs of so many tokens together at a rate in
-// tokens a second; zero where the rate isn't known.
+// MoveTime returns the estimated time to migrate the given number of runs, which hold the
+// given number of tokens in total, at rate tokens a second; zero if the rate is not known.
 //
-// Load pattern: an engine drains, and several entries move its runs one after the other,
-// by their estimate of how long those before them take. The next one's first copy, begun
-// too early, is ahead of the last copy of a run that has stopped, and that caller sees a
-// pause of its whole length.
+// Load pattern: an engine drains, and several entries migrate its runs one after the other.
+// Each entry starts after the estimated duration of the migrations before its own. A first
+// copy that starts too early is transferred ahead of the last copy of a run that has been
+// stopped, and the caller of that run sees a pause as long as the whole first copy.
 func MoveTime(tokens, runs int, rate float64) time.Duration {
 	if rate <= 0 {
 		return 0
--- a/core/handoff/standby_test.go
+++ b/core/handoff/standby_test.go
@@ -7,10 +7,10 @@
 	qt "github.com/frankban/quicktest"
 )
 
-// Engines that have just come are empty while all others are full and requests wait
-// for their room. A copy of a stream there would keep one of them waiting; in a fleet
-// with memory to spare it costs nobody a place, and saves the stream if its engine
-// crashes. Where runs can't be moved a copy is the only way to go on.
+// Guards against standby copies that take memory from waiting requests. In a full fleet an
+// engine that has just started is empty, but requests wait for its memory. In a fleet with
+// free memory a copy displaces no request and preserves the stream if its engine crashes.
+// Where runs cannot be migrated, a copy is the only way to continue a stream.
 func TestCopiesAreKeptWhereMemoryIsToSpare(t *testing.T) {
 	for _, tt := range []struct {
 		name  string
@@ -18,17 +18,17 @@
 		fleet float64
 		want  float64
 	}{
-		{"a quiet fleet", true, 0.3, fillMoves},
-		{"a crowded fleet", true, 0.8, 0},
-		{"no moves, a quiet fleet", false, 0.3, fillCopies},
-		{"no moves, a crowded fleet", false, 0.8, fillCopies},
+		{"migration, fleet with free memory", true, 0.3, fillWithMigration},
+		{"migration, full fleet", true, 0.8, 0},
+		{"no migration, fleet with free memory", false, 0.3, fillWithoutMigration},
+		{"no migration, full fleet", false, 0.8, fillWithoutMigration},
 	} {
 		t.Run(tt.name, func(t *testing.T) { qt.New(t).Assert(StandbyFill(tt.moves, tt.fleet), qt.Equals, tt.want) })
 	}
 }
 
-// TestMovesBeforeAreGivenTheirWholeTime guards against a first copy that begins before the
-// last copy of the run before it, whose caller then waits for all of it.
+// TestMovesBeforeAreGivenTheirWholeTime guards against a first copy that starts before the
+// last copy of the previous run, whose caller would then wait for the whole first copy.
 func TestMovesBeforeAreGivenTheirWholeTime(t *testing.T) {
 	c := qt.New(t)
 	const rate = 18_000 // tokens a second
