--- a/core/routing/bench_test.go
+++ b/core/routing/bench_test.go
@@ -12,7 +12,8 @@
 
 var sizes = []int{10, 100, 1000, 8000}
 
-// BenchmarkChoose is one decision with a prefix, an Avoid and three zones.
+// BenchmarkChoose measures one decision with a prefix, one target in Avoid and
+// three zones.
 func BenchmarkChoose(b *testing.B) {
 	var cost []float64
 	defer func() { fmt.Println(slope(cost)) }()
@@ -47,7 +48,8 @@
 	return fmt.Sprintf("slope: ns %.0f at targets %v: cost grows with targets to the power of %.2f", cost, sizes, k)
 }
 
-// BenchmarkChooseParallel is the same from all processors, with Sent and Ended.
+// BenchmarkChooseParallel measures decisions on all processors at once, each
+// followed by Sent and Ended.
 func BenchmarkChooseParallel(b *testing.B) {
 	tb := fleet(1000, zones, 3)
 	r := NewRouter(tb, Options{})
@@ -63,7 +65,7 @@
 	})
 }
 
-// BenchmarkReport applies one load report.
+// BenchmarkReport measures applying one load report.
 func BenchmarkReport(b *testing.B) {
 	for _, n := range sizes {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
@@ -78,10 +80,10 @@
 	}
 }
 
-// id0 is made once, so that making names is not timed.
+// id0 holds the target IDs of BenchmarkReport, so that formatting them is not timed.
 var id0 = []api.TargetID{id(0), id(1), id(2), id(3), id(4), id(5), id(6), id(7), id(8), id(9)}
 
-// BenchmarkMembership takes one target out and puts it back.
+// BenchmarkMembership measures removing one target and announcing it again.
 func BenchmarkMembership(b *testing.B) {
 	for _, n := range sizes {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
@@ -96,7 +98,7 @@
 	}
 }
 
-// BenchmarkMemory reports what a table holds for each target.
+// BenchmarkMemory reports the memory of a table per target.
 func BenchmarkMemory(b *testing.B) {
 	for _, n := range sizes {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
--- a/core/routing/bid.go
+++ b/core/routing/bid.go
@@ -8,29 +8,30 @@
 )
 
 // defaultZoneWait is how much sooner a target outside of the entry's zone must start
-// to be preferred: below it the difference is within a bid's own error, and the
-// answer's tokens would cross zones for nothing.
+// the request to be preferred. A smaller difference is within the error of a bid, and
+// the answer's tokens would cross zones without a benefit.
 const defaultZoneWait = 20 * time.Millisecond
 
-// tieWait is the difference in waiting that says nothing: a bid's estimate is no
-// better than that, and a few milliseconds of prompt would otherwise lead all
-// requests to one target for as long as it has room.
+// tieWait is the difference in waiting time up to which bids count as equal. The
+// estimate of a bid is no more precise, and a difference of a few milliseconds in
+// prompt processing would otherwise send all requests to one target for as long as
+// it has room.
 const tieWait = 30 * time.Millisecond
 
-// Bid is a target's answer to the question when it could start a request.
+// Bid is a target's estimate of when it could start a request.
 type Bid struct {
-	// From is the candidate that was asked.
+	// From is the candidate that sent the bid.
 	From Candidate
-	// Bid is its answer; Refuse is set when it would not take the request.
+	// Bid is its estimate; Refuse is set when the target would refuse the request.
 	admission.Bid
 }
 
-// cost orders bids.
+// cost returns the bid's wait plus the penalty of another zone; lower is better.
 func (b *Bid) cost() time.Duration { return b.Wait + b.From.ZoneWait }
 
-// Compare gives the index of the best bid: of those that start within tieWait of
-// the earliest, the one with the lowest score, then the one with the most prefix
-// held. It gives -1 when every bid refuses.
+// Compare returns the index of the best bid: of the bids whose cost is within tieWait
+// of the lowest, the one with the lowest score, then the one with the most prompt
+// tokens cached. It returns -1 when every bid refuses.
 func Compare(bids []Bid) int {
 	first, ok := earliest(bids)
 	if !ok {
@@ -49,7 +50,7 @@
 	return best
 }
 
-// earliest gives the lowest cost of the bids that don't refuse.
+// earliest returns the lowest cost of the bids that do not refuse.
 func earliest(bids []Bid) (first time.Duration, ok bool) {
 	for i := range bids {
 		b := &bids[i]
@@ -67,9 +68,9 @@
 	return a.Cached > b.Cached
 }
 
-// Refusal sums up bids of which none can be taken, for the caller: the reason
-// that says the most, and the soonest time at which one of the targets asks to
-// be tried again. Without bids the reason is no_target.
+// Refusal returns the error for the caller when all bids refuse: the reason that
+// ranks highest, the target that gave it, and the shortest RetryAfter of all
+// targets. Without bids the reason is no_target.
 func Refusal(bids []Bid) *api.Error {
 	e := api.NotRun(api.StepRoute, "", api.ReasonNoTarget, nil)
 	for i := range bids {
@@ -77,7 +78,7 @@
 		if b.Refuse == "" {
 			continue
 		}
-		if e.Peer == "" || telling(b.Refuse) > telling(e.Reason) {
+		if e.Peer == "" || reasonRank(b.Refuse) > reasonRank(e.Reason) {
 			e.Peer, e.Reason = string(b.From.ID), b.Refuse
 		}
 		if b.RetryAfter > 0 && (e.RetryAfter == 0 || b.RetryAfter < e.RetryAfter) {
@@ -87,9 +88,10 @@
 	return e
 }
 
-// telling ranks reasons by what they say of the fleet: one crowded target means
-// that waiting helps, whatever the others say; one that is leaving says nothing.
-func telling(r api.Reason) int {
+// reasonRank ranks reasons by how much they tell about the fleet. One target with a
+// full queue means that waiting helps, whatever the other targets answer; a target
+// that is leaving tells nothing.
+func reasonRank(r api.Reason) int {
 	switch r {
 	case api.ReasonQueueFull:
 		return 3
--- a/core/routing/parts.go
+++ b/core/routing/parts.go
@@ -5,27 +5,28 @@
 )
 
 const (
-	// staleAfter is the age at which a report counts half: loads change within
-	// a few seconds, and a target that looked empty then draws everyone.
-	staleAfter = 2 * time.Second
-	// silentAfter is the age at which a target counts as set aside.
-	silentAfter = 15 * time.Second
-	// zonePenalty is what a target outside of the entry's zone costs, in mean
-	// loads: work spills over once the own zone's best target carries this
-	// much more than the other.
+	// halfTrustAge is the age at which a report has half its weight: loads change
+	// within a few seconds, and a target whose old report shows no load would
+	// attract all requests.
+	halfTrustAge = 2 * time.Second
+	// maxReportAge is the age of a report above which its target counts as unhealthy.
+	maxReportAge = 15 * time.Second
+	// zonePenalty is the cost of a target outside of the entry's zone, in mean
+	// loads: requests spill over to another zone once the load of the best
+	// target in the own zone is higher by this much.
 	zonePenalty = 0.5
-	// prefixBonus is what a kept prefix is worth, in mean loads.
+	// prefixBonus is the benefit of a cached prefix, in mean loads.
 	prefixBonus = 0.5
-	// memoryKnee is the part of engine memory up to which filling costs
-	// nothing; above it the engine may have to preempt.
+	// memoryKnee is the fraction of engine memory up to which memory use has no
+	// cost; above it the engine may have to preempt sequences.
 	memoryKnee = 0.75
 	// memoryWeight is the cost of a full engine, in mean loads.
 	memoryWeight = 2.0
-	// agePenalty is the cost of a report that counts half.
+	// agePenalty is the cost of a report of halfTrustAge, in mean loads.
 	agePenalty = 0.1
 )
 
-// snapshot judges t once.
+// snapshot returns t as a candidate, with its state at this moment.
 func (c *choice) snapshot(t *target) Candidate {
 	r := t.report.Load()
 	age := max(0, c.now.Sub(r.Reported))
@@ -34,12 +35,12 @@
 		ID:          t.info.ID,
 		Incarnation: t.info.Incarnation,
 		Zone:        t.info.Zone,
-		Load:        discounted(float64(r.Running+r.Waiting), c.mean, age) + float64(max(0, sequences)),
+		Load:        discountedLoad(float64(r.Running+r.Waiting), c.mean, age) + float64(max(0, sequences)),
 		Mean:        c.mean,
 		Fill:        fill(r, tokens+int64(c.s.q.Prompt)),
 		Age:         age,
 		Own:         t.info.Zone == c.s.q.Zone,
-		Aside:       t.aside(c.now) || age > silentAfter,
+		Unhealthy:   t.ejected(c.now) || age > maxReportAge,
 	}
 	if !out.Own {
 		out.ZoneWait = c.o.ZoneWait
@@ -47,23 +48,23 @@
 	return out
 }
 
-// clampReported keeps the time of a report within what the rings remember.
+// clampReported limits the time of a report to the period that the rings cover.
 func clampReported(reported, now time.Time) time.Time {
-	earliest := now.Add(-(slots - 1) * slotWidth)
+	earliest := now.Add(-(ringSlots - 1) * slotWidth)
 	if reported.Before(earliest) {
 		return earliest
 	}
 	return reported
 }
 
-// discounted draws a reported load towards the mean as the report ages; at
-// staleAfter it counts half.
-func discounted(load, mean float64, age time.Duration) float64 {
-	trust := float64(staleAfter) / float64(staleAfter+age)
+// discountedLoad moves a reported load towards the mean as the report ages; at
+// halfTrustAge the report has half its weight.
+func discountedLoad(load, mean float64, age time.Duration) float64 {
+	trust := float64(halfTrustAge) / float64(halfTrustAge+age)
 	return trust*load + (1-trust)*mean
 }
 
-// fill gives the part of memory in use with more tokens on top.
+// fill returns the fraction of memory in use with more tokens added.
 func fill(r *Load, more int64) float64 {
 	if r.Capacity <= 0 {
 		return 0
@@ -72,25 +73,25 @@
 	return float64(used) / float64(r.Capacity)
 }
 
-// NotAvoided drops the targets that refused or failed this request before.
+// NotAvoided drops the targets that have already refused or failed this request.
 type NotAvoided struct{}
 
 // Keep implements Filter.
 func (NotAvoided) Keep(q *Query, c *Candidate) bool { return !avoided(q, c.ID) }
 
-// NotAside drops the targets that failed or refused lately or are silent.
-type NotAside struct{}
+// Healthy drops the targets that failed or refused recently or whose report is too old.
+type Healthy struct{}
 
 // Keep implements Filter.
-func (NotAside) Keep(_ *Query, c *Candidate) bool { return !c.Aside }
+func (Healthy) Keep(_ *Query, c *Candidate) bool { return !c.Unhealthy }
 
-// ByLoad costs a target's load relative to the mean.
+// ByLoad scores a target by its load relative to the mean.
 type ByLoad struct{}
 
 // Score implements Scorer.
 func (ByLoad) Score(_ *Query, c *Candidate) float64 { return c.Load / max(1, c.Mean) }
 
-// ByMemory costs a target whose engine memory is filling.
+// ByMemory penalises a target whose engine memory use is above memoryKnee.
 type ByMemory struct{}
 
 // Score implements Scorer.
@@ -98,7 +99,7 @@
 	return memoryWeight * max(0, c.Fill-memoryKnee) / (1 - memoryKnee)
 }
 
-// ByZone costs a target outside of the entry's availability zone.
+// ByZone penalises a target outside of the entry's availability zone.
 type ByZone struct{}
 
 // Score implements Scorer.
@@ -109,7 +110,7 @@
 	return zonePenalty
 }
 
-// ByPrefix favours the target that prefix hashing leads to.
+// ByPrefix favours the target that the prefix hashes to.
 type ByPrefix struct{}
 
 // Score implements Scorer.
@@ -120,10 +121,10 @@
 	return 0
 }
 
-// ByAge costs an old report.
+// ByAge penalises a target in proportion to the age of its report.
 type ByAge struct{}
 
 // Score implements Scorer.
 func (ByAge) Score(_ *Query, c *Candidate) float64 {
-	return agePenalty * float64(c.Age) / float64(staleAfter)
+	return agePenalty * float64(c.Age) / float64(halfTrustAge)
 }
--- a/core/routing/property_test.go
+++ b/core/routing/property_test.go
@@ -11,9 +11,9 @@
 	qt "github.com/frankban/quicktest"
 )
 
-// Targets come, leave, fail, restart and report in random order. Whatever has
-// happened, a choice gives no target that is leaving or gone, none in Avoid,
-// none twice, and gives one if there is one.
+// Targets are announced, leave, fail, restart and report in random order. After
+// any sequence of events, Choose must return no target that is leaving, removed
+// or in Avoid, none twice, and at least one if a usable target exists.
 func TestChoiceProperties(t *testing.T) {
 	for seed := range uint64(60) {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
@@ -26,24 +26,24 @@
 			now := t0
 			for range 400 {
 				now = now.Add(time.Duration(rng.IntN(1000)) * time.Millisecond)
-				t1 := id(rng.IntN(30))
+				target := id(rng.IntN(30))
 				switch rng.IntN(7) {
 				case 0, 1:
-					incs[t1]++
-					tb.Announce(Target{ID: t1, Incarnation: incs[t1], Zone: zones[rng.IntN(3)], Models: []api.ModelID{model}, Reported: now})
-					usable[t1] = true
+					incs[target]++
+					tb.Announce(Target{ID: target, Incarnation: incs[target], Zone: zones[rng.IntN(3)], Models: []api.ModelID{model}, Reported: now})
+					usable[target] = true
 				case 2:
-					tb.Leave(t1, incs[t1])
-					delete(usable, t1)
+					tb.Leave(target, incs[target])
+					delete(usable, target)
 				case 3:
-					tb.Remove(t1, incs[t1])
-					delete(usable, t1)
+					tb.Remove(target, incs[target])
+					delete(usable, target)
 				case 4:
-					tb.Failed(t1, time.Duration(rng.IntN(5000))*time.Millisecond, now, rng)
+					tb.Failed(target, time.Duration(rng.IntN(5000))*time.Millisecond, now, rng)
 				case 5:
-					tb.Report(t1, incs[t1], Load{Running: rng.IntN(50), Reported: now})
+					tb.Report(target, incs[target], Load{Running: rng.IntN(50), Reported: now})
 				case 6:
-					tb.Sent(t1, rng.IntN(1000), now)
+					tb.Sent(target, rng.IntN(1000), now)
 				}
 				q := Query{Model: model, Zone: zones[rng.IntN(3)], Prefix: rng.Uint64() * uint64(rng.IntN(2))}
 				left := len(usable)
@@ -67,7 +67,7 @@
 }
 
 // All requests share one prefix. Hashing alone would send them all to one
-// target; the bound must spread them while most stay on few targets.
+// target; the bound must limit the share of each target.
 func TestBoundedLoad(t *testing.T) {
 	for seed := range uint64(10) {
 		c := qt.New(t)
@@ -89,8 +89,8 @@
 	}
 }
 
-// With room everywhere, one prefix leads to one target from every entry, and
-// the loss of another target moves no prefix of this one.
+// With free capacity everywhere, a prefix always leads to the same target, and
+// the removal of one target must not move the prefixes of the others.
 func TestPrefixAffinityIsStable(t *testing.T) {
 	c := qt.New(t)
 	tb := fleet(20, zones[:1], 3)
@@ -111,9 +111,10 @@
 	}
 }
 
-// Entries that don't hear of each other place requests between two reports of
-// 200 targets. A choice of few sampled targets must keep the fullest one near
-// the mean, where always taking the least loaded sends all to the same one.
+// Guards against entries that all choose the same least loaded target. Ten entries
+// that do not know of each other place requests on 200 targets between two load
+// reports. Choosing from a small random sample must keep the most loaded target
+// near the mean.
 func TestChoicesSpread(t *testing.T) {
 	for seed := range uint64(5) {
 		c := qt.New(t)
@@ -134,12 +135,13 @@
 		for _, n := range counts {
 			most = max(most, n)
 		}
-		c.Assert(most <= 15, qt.IsTrue, qt.Commentf("seed %d: the fullest target has %d of a mean of 5", seed, most))
+		c.Assert(most <= 15, qt.IsTrue, qt.Commentf("seed %d: the most loaded target has %d requests, the mean is 5", seed, most))
 	}
 }
 
-// Writers change targets while readers choose; run under the race detector. A
-// sum of loads that drifted from the targets' own would move the bound for good.
+// Changes targets while choosing, for the race detector. Also guards against a
+// group's sum of loads that drifts from the loads of its targets, which would
+// shift the affinity bound permanently.
 func TestConcurrentUse(t *testing.T) {
 	c := qt.New(t)
 	tb := fleet(60, zones, 2)
@@ -172,7 +174,7 @@
 	var sum int64
 	for _, z := range g.zones {
 		for _, p := range z.points {
-			sum += p.t.counted.Load()
+			sum += p.t.contribution.Load()
 		}
 	}
 	c.Assert(g.load.sum.Load(), qt.Equals, sum)
--- a/core/routing/router.go
+++ b/core/routing/router.go
@@ -11,43 +11,44 @@
 	"almondseam.dev/core/api"
 )
 
-// Filter tells whether a candidate may be asked. It must not keep c or q, must
-// not block, and is called from several goroutines at a time.
+// Filter decides whether a candidate may be asked for a bid. It must not keep c
+// or q, must not block, and must be safe for concurrent use.
 type Filter interface {
 	Keep(q *Query, c *Candidate) bool
 }
 
-// Scorer gives a cost to a candidate; costs add up and the lowest sum is best.
-// The unit is the mean load of a target: 1 means "as bad as one mean load
-// more". The contract is Filter's.
+// Scorer returns the cost of a candidate; costs are added up and the lowest sum is
+// best. The unit is the mean load of a target: a cost of 1 is as bad as one
+// additional mean load. The contract is that of Filter.
 type Scorer interface {
 	Score(q *Query, c *Candidate) float64
 }
 
-// Picker takes at most n candidates from pool, best first, and appends them to
-// dst. It may reorder pool and must not keep it. The contract is Filter's; rng
-// belongs to the call.
+// Picker selects at most n candidates from pool, best first, and appends them to
+// dst. It may reorder pool and must not keep it. The contract is that of Filter;
+// rng is used by this call only.
 type Picker interface {
 	Pick(dst, pool []Candidate, n int, rng *rand.Rand) []Candidate
 }
 
-// Options sets a Router. A zero field takes its default.
+// Options configures a Router. A zero field means its default.
 type Options struct {
-	// Ask is the number of targets to ask for a bid; 2.
+	// Ask is the number of targets to ask for a bid. Default 2.
 	Ask int
-	// Local and Foreign are the numbers of targets that are looked at in the
-	// entry's own availability zone and outside of it; 4 and 2.
+	// Local and Foreign are the numbers of targets that are sampled in the
+	// entry's own availability zone and outside of it. Defaults 4 and 2.
 	Local   int
 	Foreign int
 	// Bound is the load, relative to the mean, up to which prefix hashing may
-	// lead to a target; 1.25.
+	// select a target. Default 1.25.
 	Bound float64
-	// AnyZone makes all availability zones alike.
+	// AnyZone treats all availability zones alike.
 	AnyZone bool
 	// ZoneWait is how much sooner a target outside of the entry's zone must
-	// start to be taken; 20 ms, and none when negative.
+	// start the request to be preferred. Default 20 ms; a negative value means
+	// zero.
 	ZoneWait time.Duration
-	// Filters, Scorers and Picker replace the standard parts.
+	// Filters, Scorers and Picker replace the default ones.
 	Filters []Filter
 	Scorers []Scorer
 	Picker  Picker
@@ -58,11 +59,11 @@
 	defaultLocal   = 4
 	defaultForeign = 2
 	defaultBound   = 1.25
-	// maxAsk, maxSample bound Options so that a decision has a bounded cost.
+	// maxAsk and maxSample limit Options, so that the cost of a decision is bounded.
 	maxAsk    = 8
 	maxSample = 16
-	// maxWalk bounds the search that follows when no sample may be asked.
-	maxWalk = 64
+	// maxScan bounds the scan that follows when no sampled target may be asked.
+	maxScan = 64
 )
 
 func (o Options) withDefaults() Options {
@@ -79,7 +80,7 @@
 		o.ZoneWait = 0
 	}
 	if o.Filters == nil {
-		o.Filters = []Filter{NotAvoided{}, NotAside{}}
+		o.Filters = []Filter{NotAvoided{}, Healthy{}}
 	}
 	if o.Scorers == nil {
 		o.Scorers = []Scorer{ByLoad{}, ByMemory{}, ByZone{}, ByPrefix{}, ByAge{}}
@@ -107,7 +108,7 @@
 	scratch sync.Pool
 }
 
-// NewRouter gives a router over tb.
+// NewRouter returns a router that chooses from tb.
 func NewRouter(tb *Table, o Options) *Router {
 	r := &Router{table: tb}
 	r.Set(o)
@@ -115,14 +116,14 @@
 	return r
 }
 
-// Set replaces the options, for the choices that begin from now on.
+// Set replaces the options for subsequent choices.
 func (r *Router) Set(o Options) {
 	o = o.withDefaults()
 	r.opts.Store(&o)
 }
 
-// scratch is the working memory of one decision; its size depends on Options
-// only, not on the number of targets.
+// scratch is the working memory of one decision; its size is bounded and does not
+// grow with the number of targets.
 type scratch struct {
 	q    Query
 	pool []Candidate
@@ -130,10 +131,11 @@
 }
 
 // Choose appends to dst the targets to ask for a bid, best first: at most
-// Options.Ask of them, none that is leaving or in q.Avoid. It gives nothing
-// when no such target is known. A target that is set aside is given only when
-// there is no other: asking costs one message, and the target answers for
-// itself. rng is used by this call only.
+// Options.Ask of them, none that is leaving, in an evacuated availability zone
+// or in q.Avoid. It appends nothing when it finds no such target. Targets that
+// the filters drop, such as unhealthy ones, are appended only when it finds no
+// other: asking costs one message, and the target itself decides whether to
+// accept. rng is used by this call only.
 func (r *Router) Choose(dst []Candidate, q Query, now time.Time, rng *rand.Rand) []Candidate {
 	s := r.scratch.Get().(*scratch)
 	defer r.release(s)
@@ -145,7 +147,7 @@
 	c := choice{r: r, o: r.opts.Load(), s: s, g: g, mean: g.mean(), now: now, rng: rng}
 	c.gather()
 	if len(s.pool) == 0 {
-		c.walk()
+		c.scan()
 	}
 	c.score()
 	return c.o.Picker.Pick(dst, s.pool, c.o.Ask, rng)
@@ -160,7 +162,7 @@
 	r.scratch.Put(s)
 }
 
-// choice is one decision under way.
+// choice is the state of one decision.
 type choice struct {
 	r    *Router
 	o    *Options
@@ -171,10 +173,10 @@
 	rng  *rand.Rand
 }
 
-// gather looks at the target that prefix hashing leads to, then at a sample of
-// the entry's own zone, then at a sample of the others. Samples are drawn anew
-// for each decision: entries that share a late report would otherwise all send
-// to the target that it shows as least loaded.
+// gather considers the target that the prefix hashes to, then a random sample of
+// the entry's own zone, then one of the other zones. A new sample is drawn for
+// each decision: entries that share a late report would otherwise all send
+// requests to the target that it shows as least loaded.
 func (c *choice) gather() {
 	own := c.ownZone()
 	c.affinity(own)
@@ -195,8 +197,8 @@
 	return &c.g.zones[i]
 }
 
-// sample looks at n targets drawn without repetition, or at all when there are
-// no more than n.
+// sample considers n targets drawn at random, or all when there are no more than
+// n. A target may be drawn repeatedly, but consider skips repetitions.
 func (c *choice) sample(ps []point, n int) {
 	if len(ps) <= n {
 		for _, p := range ps {
@@ -209,7 +211,8 @@
 	}
 }
 
-// sampleOthers draws from the other zones as though they were one.
+// sampleOthers samples the targets outside of own as though they were in one zone.
+// If own is nil, it also draws the sample that the own zone would have contributed.
 func (c *choice) sampleOthers(own *zoneSet) {
 	total := c.g.size
 	if own != nil {
@@ -224,12 +227,12 @@
 		if total > n {
 			at = c.rng.IntN(total)
 		}
-		c.consider(c.other(own, at), false)
+		c.consider(c.targetAt(own, at), false)
 	}
 }
 
-// other gives the at-th target outside of own.
-func (c *choice) other(own *zoneSet, at int) *target {
+// targetAt returns the target with index at among the targets outside of own.
+func (c *choice) targetAt(own *zoneSet, at int) *target {
 	for i := range c.g.zones {
 		z := &c.g.zones[i]
 		if own != nil && z.zone == own.zone {
@@ -243,14 +246,14 @@
 	return nil
 }
 
-// walk goes on from a random place when every sampled target was filtered out,
-// first with the filters, then, if that gives nothing, without minding who is
-// aside.
-func (c *choice) walk() {
+// scan inspects up to maxScan targets from a random start when every sampled target
+// was filtered out: first with the filters, then, if that finds none, without
+// them.
+func (c *choice) scan() {
 	start := c.rng.IntN(c.g.size)
-	steps := min(c.g.size, maxWalk)
+	steps := min(c.g.size, maxScan)
 	for i := range steps {
-		c.consider(c.other(nil, (start+i)%c.g.size), false)
+		c.consider(c.targetAt(nil, (start+i)%c.g.size), false)
 		if len(c.s.pool) >= c.o.Ask {
 			return
 		}
@@ -259,21 +262,21 @@
 		return
 	}
 	for i := range steps {
-		c.lastResort(c.other(nil, (start+i)%c.g.size))
+		c.considerUnfiltered(c.targetAt(nil, (start+i)%c.g.size))
 		if len(c.s.pool) >= c.o.Ask {
 			return
 		}
 	}
 }
 
-// consider adds t to the pool unless it was looked at before, is leaving, or a
-// filter drops it.
+// consider adds t to the pool unless it was considered before, accepts no new
+// requests, or a filter drops it.
 func (c *choice) consider(t *target, affinity bool) {
 	if slices.Contains(c.s.seen, t) {
 		return
 	}
 	c.s.seen = append(c.s.seen, t)
-	if !c.open(t) {
+	if !c.acceptsNew(t) {
 		return
 	}
 	at := len(c.s.pool)
@@ -288,13 +291,14 @@
 	}
 }
 
-// open tells whether a target takes anything new.
-func (c *choice) open(t *target) bool {
+// acceptsNew reports whether a target may be sent new requests: it is not leaving and
+// its availability zone is not evacuated.
+func (c *choice) acceptsNew(t *target) bool {
 	return !t.leaving.Load() && !slices.Contains(c.s.q.Evacuated, t.info.Zone)
 }
 
-func (c *choice) lastResort(t *target) {
-	if !c.open(t) || avoided(&c.s.q, t.info.ID) {
+func (c *choice) considerUnfiltered(t *target) {
+	if !c.acceptsNew(t) || avoided(&c.s.q, t.info.ID) {
 		return
 	}
 	c.s.pool = append(c.s.pool, c.snapshot(t))
@@ -311,8 +315,8 @@
 
 func avoided(q *Query, id api.TargetID) bool { return slices.Contains(q.Avoid, id) }
 
-// Lowest picks the candidates with the lowest scores; equal ones in random
-// order.
+// Lowest picks the candidates with the lowest scores; candidates with equal scores
+// in random order.
 type Lowest struct{}
 
 // Pick implements Picker.
--- a/core/routing/routing_test.go
+++ b/core/routing/routing_test.go
@@ -19,7 +19,7 @@
 
 func id(i int) api.TargetID { return api.TargetID(fmt.Sprintf("t%04d", i)) }
 
-// fleet announces n targets spread over zones, each with the given load.
+// fleet returns a table of n targets spread over zones, each with the given load.
 func fleet(n int, zones []api.Zone, running int) *Table {
 	tb := NewTable()
 	for i := range n {
@@ -53,8 +53,8 @@
 	}
 }
 
-// The targets of the entry's own zone fill up while the others idle. Work must
-// spill over instead of queueing at home.
+// The targets of the entry's own zone are loaded while the others are nearly idle.
+// Requests must spill over to another zone instead of queueing in the own zone.
 func TestChooseSpillsOverWhenOwnZoneIsCrowded(t *testing.T) {
 	c := qt.New(t)
 	tb := fleet(12, zones, 2)
@@ -100,7 +100,7 @@
 		{"report of another incarnation", func(tb *Table) bool {
 			return tb.Report(id(0), 2, Load{Reported: t0.Add(time.Second)})
 		}, false, 3},
-		{"report that comes late", func(tb *Table) bool {
+		{"report older than the last one", func(tb *Table) bool {
 			tb.Report(id(0), 1, Load{Running: 9, Reported: t0.Add(2 * time.Second)})
 			return tb.Report(id(0), 1, Load{Running: 1, Reported: t0.Add(time.Second)})
 		}, false, 3},
@@ -115,8 +115,8 @@
 	}
 }
 
-// A burst arrives between two reports of an idle target. The entry must count
-// what it has sent itself, or the whole burst lands there.
+// Guards against a burst that goes to one idle target between two of its reports:
+// the entry must count the requests that it has sent itself.
 func TestSentCorrectsALateReport(t *testing.T) {
 	c := qt.New(t)
 	tb := fleet(2, zones[:1], 1)
@@ -130,7 +130,7 @@
 	}
 	c.Assert(first().ID, qt.Equals, id(1))
 
-	// A report taken later has them counted: the correction must end.
+	// A later report includes these requests, so that the correction must end.
 	later := now.Add(time.Second)
 	tb.Report(id(0), 1, Load{Running: 5, Reported: later})
 	for _, cand := range r.Choose(nil, Query{Model: model, Zone: "lhr-a"}, later, rnd(1)) {
@@ -140,14 +140,15 @@
 	}
 }
 
-// An agent's link stalls: its last report showed an empty engine and stays.
-// The older it gets, the less it may draw work.
+// Guards against a stalled link whose last report showed an idle engine: the older
+// the report, the less it may attract requests, and a target without a recent report
+// is not chosen.
 func TestStaleReportIsDiscounted(t *testing.T) {
 	c := qt.New(t)
-	c.Assert(discounted(0, 10, 0), qt.Equals, 0.0)
-	c.Assert(discounted(0, 10, staleAfter), qt.Equals, 5.0)
+	c.Assert(discountedLoad(0, 10, 0), qt.Equals, 0.0)
+	c.Assert(discountedLoad(0, 10, halfTrustAge), qt.Equals, 5.0)
 	tb := fleet(3, zones[:1], 4)
-	now := t0.Add(silentAfter + time.Second)
+	now := t0.Add(maxReportAge + time.Second)
 	tb.Report(id(1), 1, Load{Running: 4, Reported: now})
 	tb.Report(id(2), 1, Load{Running: 4, Reported: now})
 	r := NewRouter(tb, Options{})
@@ -164,15 +165,15 @@
 	}
 	tb.Failed(id(1), 0, t0, rnd(1))
 	c.Assert(choose(t0), qt.Not(qt.Contains), id(1))
-	c.Assert(choose(t0.Add(2*asideBase)), qt.Contains, id(1))
+	c.Assert(choose(t0.Add(2*baseEjection)), qt.Contains, id(1))
 
-	// Each failure in a row doubles; a success starts anew.
+	// Each consecutive failure doubles the time; a success resets the count.
 	tb.Failed(id(1), 0, t0, rnd(1))
-	c.Assert(choose(t0.Add(2*asideBase-1)), qt.Not(qt.Contains), id(1))
+	c.Assert(choose(t0.Add(2*baseEjection-1)), qt.Not(qt.Contains), id(1))
 	tb.Succeeded(id(1))
-	c.Assert(tb.find(id(1)).fails.Load(), qt.Equals, int32(0))
+	c.Assert(tb.find(id(1)).failures.Load(), qt.Equals, int32(0))
 
-	// All aside: asking one is better than refusing without having asked.
+	// With all targets ejected, asking one is better than refusing without asking.
 	for i := range 3 {
 		tb.Failed(id(i), time.Second, t0, rnd(1))
 	}
@@ -201,16 +202,16 @@
 		after  time.Duration
 	}{
 		{"none", nil, -1, api.ReasonNoTarget, 0},
-		{"sooner wins", []Bid{bid("a", true, 41*ms, 0, "", 0), bid("busy", true, 10*ms, 0, "", 0)}, 1, "", 0},
-		{"lower score wins when as soon", []Bid{bid("busy", true, 10*ms, 0, "", 0), bid("a", true, 40*ms, 0, "", 0)}, 1, "", 0},
-		{"own zone counts", []Bid{bid("a", false, 10*ms, 0, "", 0), bid("busy", true, -1*ms, 0, "", 0)}, 1, "", 0},
+		{"earlier start wins", []Bid{bid("a", true, 41*ms, 0, "", 0), bid("busy", true, 10*ms, 0, "", 0)}, 1, "", 0},
+		{"lower score wins when the waits are equal", []Bid{bid("busy", true, 10*ms, 0, "", 0), bid("a", true, 40*ms, 0, "", 0)}, 1, "", 0},
+		{"own zone is preferred", []Bid{bid("a", false, 10*ms, 0, "", 0), bid("busy", true, -1*ms, 0, "", 0)}, 1, "", 0},
 		{"three bids", []Bid{bid("busy", true, 0, 0, "", 0), bid("busy", true, 25*ms, 9, "", 0), bid("a", true, 50*ms, 0, "", 0)}, 1, "", 0},
-		{"other zone wins when far sooner", []Bid{bid("a", false, 10*ms, 0, "", 0), bid("b", true, 90*ms, 0, "", 0)}, 0, "", 0},
-		{"cached breaks a tie", []Bid{bid("a", true, 10*ms, 0, "", 0), bid("b", true, 10*ms, 64, "", 0)}, 1, "", 0},
+		{"other zone wins when far earlier", []Bid{bid("a", false, 10*ms, 0, "", 0), bid("b", true, 90*ms, 0, "", 0)}, 0, "", 0},
+		{"cached tokens break a tie", []Bid{bid("a", true, 10*ms, 0, "", 0), bid("b", true, 10*ms, 64, "", 0)}, 1, "", 0},
 		{"refusal loses", []Bid{bid("a", true, 0, 0, api.ReasonQueueFull, 0), bid("b", false, time.Second, 0, "", 0)}, 1, "", 0},
-		{"both crowded", []Bid{bid("a", true, 0, 0, api.ReasonQueueFull, 4*time.Second), bid("b", true, 0, 0, api.ReasonQueueFull, 2*time.Second)}, -1, api.ReasonQueueFull, 2 * time.Second},
-		{"one fits never, one is crowded", []Bid{bid("a", true, 0, 0, api.ReasonNeverFits, 0), bid("b", true, 0, 0, api.ReasonQueueFull, time.Second)}, -1, api.ReasonQueueFull, time.Second},
-		{"both fit never", []Bid{bid("a", true, 0, 0, api.ReasonNeverFits, 0), bid("b", true, 0, 0, api.ReasonNeverFits, 0)}, -1, api.ReasonNeverFits, 0},
+		{"both queues full", []Bid{bid("a", true, 0, 0, api.ReasonQueueFull, 4*time.Second), bid("b", true, 0, 0, api.ReasonQueueFull, 2*time.Second)}, -1, api.ReasonQueueFull, 2 * time.Second},
+		{"one never fits, one queue full", []Bid{bid("a", true, 0, 0, api.ReasonNeverFits, 0), bid("b", true, 0, 0, api.ReasonQueueFull, time.Second)}, -1, api.ReasonQueueFull, time.Second},
+		{"neither ever fits", []Bid{bid("a", true, 0, 0, api.ReasonNeverFits, 0), bid("b", true, 0, 0, api.ReasonNeverFits, 0)}, -1, api.ReasonNeverFits, 0},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
@@ -226,7 +227,7 @@
 	}
 }
 
-// The options change between two choices: the next one goes by the new ones.
+// Changes the options between two choices; the next choice must use the new ones.
 func TestOptionsChangeWhileInUse(t *testing.T) {
 	c := qt.New(t)
 	r := NewRouter(fleet(12, zones, 3), Options{})
@@ -251,14 +252,15 @@
 	}
 }
 
-// All targets carry the mean load but the one that the prefix leads to, which
-// carries a third more. A tight bound passes it over; a wide one takes it.
+// All targets have the same load, except that the target that the prefix hashes to
+// has a third more. A tight bound must pass over this target, a wide one must accept
+// it.
 func TestBoundChangesWhileInUse(t *testing.T) {
 	c := qt.New(t)
 	tb := fleet(12, zones[:1], 30)
 	r := NewRouter(tb, Options{})
 	q := Query{Model: model, Zone: "lhr-a", Prefix: 7}
-	led := func() api.TargetID {
+	affinityTarget := func() api.TargetID {
 		for _, cand := range r.Choose(nil, q, t0, rnd(1)) {
 			if cand.Affinity {
 				return cand.ID
@@ -266,10 +268,10 @@
 		}
 		return ""
 	}
-	home := led()
-	tb.Report(home, 1, Load{Running: 40, Free: 50_000, Capacity: 100_000, Reported: t0.Add(time.Millisecond)})
+	preferred := affinityTarget()
+	tb.Report(preferred, 1, Load{Running: 40, Free: 50_000, Capacity: 100_000, Reported: t0.Add(time.Millisecond)})
 	r.Set(Options{Ask: 8, Local: 16, Bound: 1})
-	c.Assert(led(), qt.Not(qt.Equals), home)
+	c.Assert(affinityTarget(), qt.Not(qt.Equals), preferred)
 	r.Set(Options{Ask: 8, Local: 16, Bound: 2})
-	c.Assert(led(), qt.Equals, home)
+	c.Assert(affinityTarget(), qt.Equals, preferred)
 }
--- a/core/routing/table.go
+++ b/core/routing/table.go
@@ -14,38 +14,40 @@
 )
 
 const (
-	// asideBase is how long a first failure puts a target aside.
-	asideBase = 250 * time.Millisecond
-	// asideDoublings bounds the doubling; asideMax bounds the whole.
-	asideDoublings = 6
-	asideMax       = 15 * time.Second
+	// baseEjection is how long a target is ejected after a first failure, before
+	// jitter.
+	baseEjection = 250 * time.Millisecond
+	// maxEjectionDoublings bounds the number of doublings; maxEjection bounds the
+	// time before jitter.
+	maxEjectionDoublings = 6
+	maxEjection          = 15 * time.Second
 )
 
-// point places a target on the hash circle of its zone.
+// point is the position of a target on the hash ring of its zone.
 type point struct {
 	hash uint64
 	t    *target
 }
 
 // zoneSet holds the targets of one group in one availability zone, sorted by
-// hash. It serves both prefix hashing and sampling by index.
+// hash. It is used for prefix hashing and for sampling by index.
 type zoneSet struct {
 	zone   api.Zone
 	points []point
 }
 
-// groupLoad sums the load of a group's targets, in sequences. It outlives the
-// group's versions, so that Sent may add to it without a lock.
+// groupLoad is the total load of a group's targets, in sequences. All versions of
+// the group share it, so that Sent can update it without a lock.
 type groupLoad struct{ sum atomic.Int64 }
 
-// group is one version of the targets that answer for one model or service.
+// group is one version of the set of targets that serve one model or service.
 type group struct {
 	zones []zoneSet
 	size  int
 	load  *groupLoad
 }
 
-// mean gives the mean number of sequences on a target of the group.
+// mean returns the mean number of sequences per target of the group.
 func (g *group) mean() float64 {
 	if g.size == 0 {
 		return 0
@@ -53,14 +55,14 @@
 	return max(0, float64(g.load.sum.Load())/float64(g.size))
 }
 
-// View is what one choice reads: the targets of each model and service. A
-// published View never changes.
+// View is the snapshot that one choice reads: the targets of each model and
+// service. The sets of targets of a published View never change.
 type View struct {
 	models   map[api.ModelID]*group
 	services map[api.ServiceID]*group
 }
 
-// Size gives the number of targets that q could be sent to.
+// Size returns the number of targets that serve q's model or service.
 func (v *View) Size(q Query) int {
 	g := v.group(&q)
 	if g == nil {
@@ -76,9 +78,9 @@
 	return v.models[q.Model]
 }
 
-// Table is an entry's knowledge of the targets. Announce, Leave and Remove
-// take a lock among themselves and publish a new View; everything else is
-// lock-free. All methods may be called from several goroutines.
+// Table holds an entry's knowledge of the targets. Announce, Leave and Remove
+// share a lock and publish a new View; all other methods are lock-free. All
+// methods are safe for concurrent use.
 type Table struct {
 	view  atomic.Pointer[View]
 	byID  sync.Map // api.TargetID to *target
@@ -86,17 +88,17 @@
 	known atomic.Int64
 }
 
-// NewTable gives a table without targets.
+// NewTable returns an empty table.
 func NewTable() *Table {
 	tb := &Table{}
 	tb.view.Store(&View{})
 	return tb
 }
 
-// View gives the current view.
+// View returns the current view.
 func (tb *Table) View() *View { return tb.view.Load() }
 
-// Len gives the number of known targets, leaving ones included.
+// Len returns the number of known targets, including those that are leaving.
 func (tb *Table) Len() int { return int(tb.known.Load()) }
 
 func (tb *Table) find(id api.TargetID) *target {
@@ -107,7 +109,7 @@
 	return v.(*target)
 }
 
-// Get gives what is known of a target, with its last report.
+// Get returns what is known of a target, with its last report.
 func (tb *Table) Get(id api.TargetID) (Target, bool) {
 	t := tb.find(id)
 	if t == nil {
@@ -122,11 +124,11 @@
 	return out, true
 }
 
-// Announce makes a target known or replaces what was known of it. It gives
-// false for an announcement of an earlier incarnation, or of this one after it
-// said that it is leaving: such a message was late in a link, and taking it
-// would send work to a process that is gone. The slices of a are kept and must
-// not change afterwards.
+// Announce adds a target or replaces what was known of it. It returns false for
+// an announcement of an earlier incarnation, or of the current one after it
+// announced that it is leaving. Such a message was delayed on a link, and
+// applying it would send requests to a process that is gone. Announce keeps the
+// slices of a, which must not change afterwards.
 func (tb *Table) Announce(a Target) bool {
 	tb.mu.Lock()
 	defer tb.mu.Unlock()
@@ -138,8 +140,8 @@
 		old.apply(a.load())
 		return true
 	}
-	// Both changes are published as one: between them a model with a single
-	// target would have none.
+	// The removal and the addition are published as one View: between them a model
+	// with a single target would have none.
 	t := newTarget(a)
 	v := tb.view.Load()
 	if old != nil {
@@ -171,8 +173,8 @@
 		slices.Equal(old.info.Services, a.Services)
 }
 
-// Report applies one load report. It gives false when the target is unknown,
-// of another incarnation, or when a later report is already here.
+// Report applies one load report. It returns false when the target is unknown or
+// of another incarnation, or when the report is not later than the last one.
 func (tb *Table) Report(id api.TargetID, inc api.Incarnation, l Load) bool {
 	t := tb.find(id)
 	if t == nil || t.info.Incarnation != inc {
@@ -181,8 +183,8 @@
 	return t.apply(l)
 }
 
-// Leave marks a target as leaving: no choice made after Leave returns gives it.
-// It gives false when that incarnation is not known.
+// Leave marks a target as leaving: choices that start after Leave has returned do
+// not include it. It returns false when that incarnation is not known.
 func (tb *Table) Leave(id api.TargetID, inc api.Incarnation) bool {
 	tb.mu.Lock()
 	defer tb.mu.Unlock()
@@ -196,7 +198,8 @@
 	return true
 }
 
-// Remove forgets a target, unless another incarnation has taken its place.
+// Remove deletes a target. It returns false when the target is unknown or of another
+// incarnation.
 func (tb *Table) Remove(id api.TargetID, inc api.Incarnation) bool {
 	tb.mu.Lock()
 	defer tb.mu.Unlock()
@@ -212,38 +215,38 @@
 	return true
 }
 
-// Failed notes that a target failed or refused: it is put aside for a time that
-// doubles with each failure in a row, jittered so that entries don't all come
-// back to it at once. A target that said when to come back is put aside for at
-// least that long, up to asideMax.
+// Failed records that a target failed or refused a request. It ejects the target for
+// a time that doubles with each consecutive failure, jittered so that the entries do
+// not all return to the target at once. A target that sent retryAfter is ejected for
+// at least that long, up to maxEjection.
 func (tb *Table) Failed(id api.TargetID, retryAfter time.Duration, now time.Time, rng *rand.Rand) {
 	t := tb.find(id)
 	if t == nil {
 		return
 	}
-	n := min(t.fails.Add(1)-1, asideDoublings)
-	d := max(asideBase<<n, retryAfter)
-	d = min(d, asideMax)
-	t.setAside(now.Add(d + time.Duration(rng.Int64N(int64(d)/2))))
+	n := min(t.failures.Add(1)-1, maxEjectionDoublings)
+	d := max(baseEjection<<n, retryAfter)
+	d = min(d, maxEjection)
+	t.eject(now.Add(d + time.Duration(rng.Int64N(int64(d)/2))))
 }
 
-// Succeeded notes that a target took a request: its next failure counts as the
-// first. It stays aside if another request has put it there meanwhile.
+// Succeeded records that a target accepted a request: its next failure counts as the
+// first. It does not end an ejection.
 func (tb *Table) Succeeded(id api.TargetID) {
-	if t := tb.find(id); t != nil && t.fails.Load() != 0 {
-		t.fails.Store(0)
+	if t := tb.find(id); t != nil && t.failures.Load() != 0 {
+		t.failures.Store(0)
 	}
 }
 
-// Sent notes that a request of so many tokens was sent to a target, so that
-// choices count it before the target's own report does.
+// Sent records that a request with the given number of tokens was sent to a target,
+// so that choices count it before the target's own report does.
 func (tb *Table) Sent(id api.TargetID, tokens int, now time.Time) {
 	if t := tb.find(id); t != nil {
 		t.begin(tokens, now)
 	}
 }
 
-// Ended notes that a request sent earlier has ended, with the tokens given to
+// Ended records that a request has ended; tokens is the number that was passed to
 // Sent.
 func (tb *Table) Ended(id api.TargetID, tokens int, now time.Time) {
 	if t := tb.find(id); t != nil {
@@ -251,13 +254,13 @@
 	}
 }
 
-// list gives the view with t in the groups it answers for. The table's lock is
-// held, here and below.
+// list returns the view with t added to the groups of its models and services. The
+// table's lock must be held for this and the functions below.
 func (v *View) list(t *target) *View {
 	return v.change(t, func(g *group) *group { return g.with(t) })
 }
 
-// unlist gives the view without t.
+// unlist returns the view without t.
 func (v *View) unlist(t *target) *View {
 	defer t.groups.Store(nil)
 	return v.change(t, func(g *group) *group { return g.without(t) })
@@ -273,8 +276,8 @@
 	return next
 }
 
-// changeGroups copies the map and replaces the groups of names; a group that
-// has become empty is dropped.
+// changeGroups returns a copy of the map in which the groups of names are replaced;
+// a group that has become empty is dropped. It appends the groups' loads to loads.
 func changeGroups[K comparable](m map[K]*group, names []K, change func(*group) *group, loads *[]*groupLoad) map[K]*group {
 	if len(names) == 0 {
 		return m
@@ -299,7 +302,7 @@
 	return out
 }
 
-// with gives the group with t in it.
+// with returns the group with t added.
 func (g *group) with(t *target) *group {
 	return g.replace(t, func(ps []point) []point {
 		at, _ := slices.BinarySearchFunc(ps, t.hash, func(p point, h uint64) int { return cmp.Compare(p.hash, h) })
@@ -307,15 +310,16 @@
 	})
 }
 
-// without gives the group with t out of it.
+// without returns the group with t removed.
 func (g *group) without(t *target) *group {
 	return g.replace(t, func(ps []point) []point {
 		return slices.DeleteFunc(slices.Clone(ps), func(p point) bool { return p.t == t })
 	})
 }
 
-// replace copies the zone of t and shares the others. The sum of loads is
-// counted anew: a Sent that raced with an earlier change may have missed it.
+// replace returns a copy of the group with the zone of t changed; the other zones are
+// shared. It also recomputes the sum of loads, because a Sent that ran concurrently
+// with an earlier change may not have been added to the sum.
 func (g *group) replace(t *target, change func([]point) []point) *group {
 	out := &group{zones: slices.Clone(g.zones), load: g.load}
 	i := slices.IndexFunc(out.zones, func(z zoneSet) bool { return z.zone == t.info.Zone })
@@ -331,7 +335,7 @@
 	for _, z := range out.zones {
 		out.size += len(z.points)
 		for _, p := range z.points {
-			sum += p.t.counted.Load()
+			sum += p.t.contribution.Load()
 		}
 	}
 	out.load.sum.Store(sum)
--- a/core/routing/target.go
+++ b/core/routing/target.go
@@ -6,29 +6,31 @@
 )
 
 const (
-	// slots and slotWidth bound how far back a correction reaches: a report
-	// older than their product is discounted anyway.
-	slots     = 16
+	// ringSlots and slotWidth bound the period for which sent and ended requests
+	// are remembered to correct a report; an older report is discounted anyway.
+	ringSlots = 16
 	slotWidth = 250 * time.Millisecond
 )
 
-// target is one incarnation of a target. info is fixed; the rest is atomic.
+// target is one incarnation of a target. info and hash are fixed; the rest is atomic.
 type target struct {
 	info    Target
 	hash    uint64
 	leaving atomic.Bool
 	report  atomic.Pointer[Load]
-	// groups are the sums that counted is part of; nil once unlisted.
-	groups  atomic.Pointer[[]*groupLoad]
-	counted atomic.Int64
-	// sent and ended count sequences by slot of time; tokensIn and tokensOut
-	// count their tokens.
+	// groups are the sums of the groups that the target belongs to; nil once it is
+	// unlisted. contribution is what the target adds to each of them: its last
+	// report, corrected by the requests sent and ended.
+	groups       atomic.Pointer[[]*groupLoad]
+	contribution atomic.Int64
+	// sent and ended count sequences per time slot; tokensIn and tokensOut count
+	// their tokens.
 	sent, ended         ring
 	tokensIn, tokensOut ring
-	// asideUntil is in nanoseconds since the epoch; fails counts failures in
-	// a row.
-	asideUntil atomic.Int64
-	fails      atomic.Int32
+	// ejectedUntil is the end of the ejection in Unix nanoseconds; failures is the
+	// number of consecutive failures.
+	ejectedUntil atomic.Int64
+	failures     atomic.Int32
 }
 
 func newTarget(a Target) *target {
@@ -36,12 +38,12 @@
 	t.leaving.Store(a.Leaving)
 	l := a.load()
 	t.report.Store(&l)
-	t.counted.Store(int64(l.Running + l.Waiting))
+	t.contribution.Store(int64(l.Running + l.Waiting))
 	return t
 }
 
-// inherit keeps the corrections when the same incarnation changes what it
-// answers for; a new incarnation starts clean, as its engine does.
+// inherit copies the state of old when the same incarnation has changed its zone,
+// models or services. A new incarnation starts without it, as its engine does.
 func (t *target) inherit(old *target) {
 	if old.info.Incarnation != t.info.Incarnation {
 		return
@@ -50,15 +52,15 @@
 	t.ended.copy(&old.ended)
 	t.tokensIn.copy(&old.tokensIn)
 	t.tokensOut.copy(&old.tokensOut)
-	t.asideUntil.Store(old.asideUntil.Load())
-	t.fails.Store(old.fails.Load())
+	t.ejectedUntil.Store(old.ejectedUntil.Load())
+	t.failures.Store(old.failures.Load())
 	if r := old.report.Load(); r.Reported.After(t.info.Reported) {
 		t.report.Store(r)
 	}
-	t.counted.Store(old.counted.Load())
+	t.contribution.Store(old.contribution.Load())
 }
 
-// apply takes a report unless a later one is here.
+// apply stores a report, unless it is not later than the last one.
 func (t *target) apply(l Load) bool {
 	for {
 		old := t.report.Load()
@@ -71,27 +73,27 @@
 	}
 	sequences, _ := t.pending(l.Reported)
 	n := int64(l.Running+l.Waiting) + sequences
-	t.addGroups(n - t.counted.Swap(n))
+	t.addToGroups(n - t.contribution.Swap(n))
 	return true
 }
 
-// begin counts a request sent.
+// begin counts a request that was sent.
 func (t *target) begin(tokens int, now time.Time) {
 	t.sent.add(1, now)
 	t.tokensIn.add(int64(tokens), now)
-	t.counted.Add(1)
-	t.addGroups(1)
+	t.contribution.Add(1)
+	t.addToGroups(1)
 }
 
-// end counts a request ended.
+// end counts a request that has ended.
 func (t *target) end(tokens int, now time.Time) {
 	t.ended.add(1, now)
 	t.tokensOut.add(int64(tokens), now)
-	t.counted.Add(-1)
-	t.addGroups(-1)
+	t.contribution.Add(-1)
+	t.addToGroups(-1)
 }
 
-func (t *target) addGroups(n int64) {
+func (t *target) addToGroups(n int64) {
 	gs := t.groups.Load()
 	if gs == nil {
 		return
@@ -101,10 +103,10 @@
 	}
 }
 
-// pending gives the sequences and tokens sent, less those ended, since the
-// report was taken. The slot in which the report falls counts for what was sent
-// and not for what ended: a request counted twice for a quarter of a second
-// does less harm than one missed, which sends a burst to one target.
+// pending returns the sequences and tokens sent, less those ended, since the given
+// time of the report. The slot of the report itself is included for sent requests
+// but not for ended ones: counting a request twice for a quarter of a second does
+// less harm than missing it, which can send a burst to one target.
 func (t *target) pending(reported time.Time) (sequences, tokens int64) {
 	first := epoch(reported)
 	sequences = t.sent.since(first) - t.ended.since(first+1)
@@ -112,31 +114,33 @@
 	return sequences, tokens
 }
 
-// setAside keeps the target out of choices until the given time.
-func (t *target) setAside(until time.Time) {
+// eject marks the target as unhealthy until the given time, unless it is already
+// ejected for longer.
+func (t *target) eject(until time.Time) {
 	ns := until.UnixNano()
 	for {
-		old := t.asideUntil.Load()
-		if old >= ns || t.asideUntil.CompareAndSwap(old, ns) {
+		old := t.ejectedUntil.Load()
+		if old >= ns || t.ejectedUntil.CompareAndSwap(old, ns) {
 			return
 		}
 	}
 }
 
-// aside tells whether the target is set aside at the given time.
-func (t *target) aside(now time.Time) bool { return now.UnixNano() < t.asideUntil.Load() }
+// ejected reports whether the target is ejected at the given time.
+func (t *target) ejected(now time.Time) bool { return now.UnixNano() < t.ejectedUntil.Load() }
 
-// ring sums over slots of time. Each slot packs its number (high 32 bits) and
-// its sum (low 32 bits), so that both change in one step.
-type ring [slots]atomic.Uint64
+// ring holds sums per time slot. Each element packs the number of its time slot
+// (high 32 bits) and the sum (low 32 bits), so that both change atomically.
+type ring [ringSlots]atomic.Uint64
 
-// epoch numbers the slots of time.
+// epoch returns the number of the time slot of t.
 func epoch(t time.Time) uint32 { return uint32(t.UnixNano() / int64(slotWidth)) }
 
-// add counts n in now's slot; the sum of an earlier round is overwritten.
+// add adds n to the sum of now's time slot, overwriting the sum of an earlier time
+// slot in the same element.
 func (r *ring) add(n int64, now time.Time) {
 	e := epoch(now)
-	s := &r[e%slots]
+	s := &r[e%ringSlots]
 	for {
 		old := s.Load()
 		have := int64(0)
@@ -149,7 +153,7 @@
 	}
 }
 
-// since sums the slots numbered first and later.
+// since returns the total of the time slots numbered first and later.
 func (r *ring) since(first uint32) int64 {
 	var n int64
 	for i := range r {
