--- a/core/fleetload/bench_test.go
+++ b/core/fleetload/bench_test.go
@@ -8,8 +8,8 @@
 	"almondseam.dev/core/api"
 )
 
-// BenchmarkRound is what one round of reports costs an entry: each of the others has
-// changed its load on one target of twenty. The figure is ns/op.
+// BenchmarkRound measures the cost to one entry of a round of eight reports, in ns/op. In
+// each report another entry has changed its load on one of its twenty targets.
 func BenchmarkRound(b *testing.B) {
 	for _, entries := range []int{30, 100, 301} {
 		b.Run(fmt.Sprint(entries), func(b *testing.B) {
@@ -23,7 +23,7 @@
 				table.Put(r, now)
 			}
 			table.Take(now)
-			// Some eight reports come in one round.
+			// About eight reports arrive in one round.
 			const reports = 8
 			i := 0
 			for b.Loop() {
--- a/core/fleetload/fleetload.go
+++ b/core/fleetload/fleetload.go
@@ -1,7 +1,7 @@
-// Package fleetload adds up the load reports of the entries by target. An entry knows its
-// own requests at once and those of the others some milliseconds late. Without the others'
-// reports all entries would choose the same least loaded target in a burst. Not safe for
-// concurrent use; time is passed in.
+// Package fleetload sums the load reports of the entries by target. An entry knows its own
+// requests at once and those of the other entries some milliseconds late. Without the
+// reports of the others, all entries would choose the same least loaded target in a burst.
+// The package is not safe for concurrent use; the current time is passed in.
 package fleetload
 
 import (
@@ -12,22 +12,23 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Load is what requests under way ask of a target.
+// Load is the load of active requests on a target.
 type Load struct {
-	// Running counts requests, Tokens the memory that they are expected to take.
+	// Running is the number of requests; Tokens is the memory, in tokens, that they are
+	// expected to use.
 	Running int `cbor:"1,keyasint,omitempty"`
 	Tokens  int `cbor:"2,keyasint,omitempty"`
-	// Unread is the part of prompts, in tokens, of requests that have not begun to
-	// answer.
+	// Unread is the number of prompt tokens that the target has yet to process for
+	// requests whose answers have not started.
 	Unread int `cbor:"3,keyasint,omitempty"`
 	// Moving is the memory, in tokens, of streams that no other engine has a copy
-	// of: what would have to be moved if the target left now.
+	// of: the memory that would have to be migrated if the target drained now.
 	Moving int `cbor:"4,keyasint,omitempty"`
-	// MovingRuns is how many streams those are.
+	// MovingRuns is the number of the streams that Moving counts.
 	MovingRuns int `cbor:"5,keyasint,omitempty"`
 }
 
-// Add gives the sum of two loads.
+// Add returns the sum of two loads.
 func (l Load) Add(o Load) Load {
 	return Load{Running: l.Running + o.Running, Tokens: l.Tokens + o.Tokens, Unread: l.Unread + o.Unread, Moving: l.Moving + o.Moving, MovingRuns: l.MovingRuns + o.MovingRuns}
 }
@@ -38,17 +39,19 @@
 	Load   Load         `cbor:"2,keyasint"`
 }
 
-// Report is what one entry has under way: all of it, or what has changed.
+// Report is the load of one entry's active requests: either its load on all targets or only
+// the changes since its previous report.
 type Report struct {
 	Entry api.InstanceID `cbor:"1,keyasint"`
-	// List is in the order of the targets' names.
+	// List is sorted by target name.
 	List []TargetLoad `cbor:"2,keyasint,omitempty"`
-	// Whole tells that List is all; else targets that are not in it are as before,
-	// and those with no load have none any more.
+	// Whole is set if List holds the entry's whole load. Otherwise targets that are not
+	// listed are unchanged, and a target listed with a zero load has none any more.
 	Whole bool `cbor:"3,keyasint,omitempty"`
 }
 
-// Merge gives what a report and a later one of the same entry say together.
+// Merge returns the report that has the same effect as r followed by a later report of the
+// same entry.
 func (r Report) Merge(later Report) Report {
 	if later.Whole {
 		return later
@@ -71,44 +74,47 @@
 	return out
 }
 
-// Stale is after how long without a report an entry's load no longer counts: it
-// reports every second, and one that was killed has nothing under way.
+// Stale is the time without a report after which the load of an entry is no longer
+// counted. Entries report every second, and an entry that was killed has no active
+// requests.
 const Stale = 2500 * time.Millisecond
 
-// Sum is what the entries but one have under way at a target.
+// Sum is the load on a target by all entries except the owner of the Table.
 type Sum struct {
 	Target api.TargetID
 	Load   Load
-	// Ahead is what entries before the one have to move when the target drains. Entries move the runs of a target one after the other, in an order that
-	// follows from the target's and the entries' names, so that all come to the same
-	// order without coordination.
+	// Ahead is the backlog of the entries that migrate their runs before the owner of
+	// the Table when the target drains. Entries migrate the runs of a target one after
+	// the other, in an order that is derived from the names of the target and of the
+	// entries, so that all entries agree on it without coordination.
 	Ahead Backlog
 }
 
-// Backlog is what has to be moved from a target.
+// Backlog is the amount of work to migrate runs from a target.
 type Backlog struct {
-	// Tokens is the memory of the runs.
+	// Tokens is the memory of the runs, in tokens.
 	Tokens int
 	Runs   int
 }
 
-// Table adds up what other entries report, for one entry. A report costs as much as it
-// holds changes, however many entries and targets there are.
+// Table sums the reports of all other entries, for the one entry that owns it. The cost of
+// applying a report depends only on the loads that it lists and, for a whole report, on the
+// previous loads of its entry. It does not depend on the number of entries and targets.
 type Table struct {
 	self    api.InstanceID
 	reports map[api.InstanceID]*report
 	sums    map[api.TargetID]*Sum
-	// changed are the targets whose sums have changed since they were last taken.
+	// changed holds the targets whose sums have changed since the last call of Take.
 	changed map[api.TargetID]struct{}
 }
 
-// report is the load of one entry.
+// report is the load of one entry, as of its last report.
 type report struct {
-	loads map[api.TargetID]Load
-	heard time.Time
+	loads      map[api.TargetID]Load
+	reportedAt time.Time
 }
 
-// NewTable gives the empty table of an entry.
+// NewTable returns an empty table that is owned by the entry self.
 func NewTable(self api.InstanceID) *Table {
 	return &Table{
 		self: self, reports: make(map[api.InstanceID]*report),
@@ -116,7 +122,7 @@
 	}
 }
 
-// Put takes a report. The entry's own changes nothing.
+// Put applies a report. It ignores reports of the entry that owns the table.
 func (t *Table) Put(r Report, now time.Time) {
 	if r.Entry == t.self {
 		return
@@ -126,7 +132,7 @@
 		known = &report{loads: make(map[api.TargetID]Load)}
 		t.reports[r.Entry] = known
 	}
-	known.heard = now
+	known.reportedAt = now
 	if r.Whole {
 		t.dropUnlisted(r, known)
 	}
@@ -135,7 +141,7 @@
 	}
 }
 
-// dropUnlisted takes back the loads that a whole report does not list.
+// dropUnlisted removes the loads of an entry that are not listed in its report.
 func (t *Table) dropUnlisted(r Report, known *report) {
 	listed := make(map[api.TargetID]struct{}, len(r.List))
 	for _, l := range r.List {
@@ -148,7 +154,7 @@
 	}
 }
 
-// set replaces the load of an entry on a target.
+// set replaces the load of an entry on a target and updates the target's sum.
 func (t *Table) set(entry api.InstanceID, known *report, id api.TargetID, l Load) {
 	old := known.loads[id]
 	if old == l {
@@ -165,8 +171,8 @@
 		t.sums[id] = sum
 	}
 	sum.Load = sum.Load.Add(l).sub(old)
-	moves := old.Moving != l.Moving || old.MovingRuns != l.MovingRuns
-	if moves && before(id, entry, t.self) {
+	movingChanged := old.Moving != l.Moving || old.MovingRuns != l.MovingRuns
+	if movingChanged && migratesBefore(id, entry, t.self) {
 		sum.Ahead.Tokens += l.Moving - old.Moving
 		sum.Ahead.Runs += l.MovingRuns - old.MovingRuns
 	}
@@ -177,24 +183,25 @@
 	return l.Add(Load{Running: -o.Running, Tokens: -o.Tokens, Unread: -o.Unread, Moving: -o.Moving, MovingRuns: -o.MovingRuns})
 }
 
-// before tells whether entry a comes before entry b at a target.
-func before(t api.TargetID, a, b api.InstanceID) bool {
-	x, y := place(t, a), place(t, b)
+// migratesBefore reports whether entry a migrates its runs from a target before entry b.
+func migratesBefore(t api.TargetID, a, b api.InstanceID) bool {
+	x, y := migrationOrder(t, a), migrationOrder(t, b)
 	if x != y {
 		return x < y
 	}
 	return a < b
 }
 
-func place(t api.TargetID, e api.InstanceID) uint64 {
+func migrationOrder(t api.TargetID, e api.InstanceID) uint64 {
 	return xxhash.Sum64String(string(t) + "/" + string(e))
 }
 
-// Take gives the sums that have changed since the last call, in no order, and how many
-// other entries have reported of late.
+// Take removes the load of entries that have not reported for longer than Stale. It returns
+// the sums that have changed since the last call, in no particular order, and the number of
+// other entries that have reported within that time.
 func (t *Table) Take(now time.Time) ([]Sum, int) {
 	for id, r := range t.reports {
-		if now.Sub(r.heard) > Stale {
+		if now.Sub(r.reportedAt) > Stale {
 			t.dropUnlisted(Report{Entry: id}, r)
 			delete(t.reports, id)
 		}
--- a/core/fleetload/fleetload_test.go
+++ b/core/fleetload/fleetload_test.go
@@ -10,7 +10,7 @@
 	qt "github.com/frankban/quicktest"
 )
 
-// view is what a reader of a table's changes knows.
+// view holds the sums that a reader has gathered from the changes of a table.
 type view map[api.TargetID]Sum
 
 func (v view) take(t *Table, now time.Time) int {
@@ -24,8 +24,8 @@
 	return entries
 }
 
-// An entry that was killed has nothing under way any more. Were its last report
-// kept, the others would pass over targets that are empty.
+// Guards against counting the load of an entry that was killed and has no active requests
+// any more: the other entries would avoid targets that are idle.
 func TestLoadOfASilentEntryStopsCounting(t *testing.T) {
 	c := qt.New(t)
 	table, got := NewTable("self"), view{}
@@ -41,9 +41,9 @@
 	c.Assert(got, qt.DeepEquals, view{"t": {Target: "t", Load: Load{Running: 1, Tokens: 5}}})
 }
 
-// Every entry must come to the same order of moves: two that both took themselves
-// for the first would copy at once and wait for each other on the engine's link,
-// with their callers' streams stopped.
+// Guards against entries that disagree on the order of their migrations. Two entries that
+// both started first would copy at the same time and delay each other on the engine's
+// link while the streams of their callers are stopped.
 func TestEntriesAgreeOnWhoMovesFirst(t *testing.T) {
 	c := qt.New(t)
 	now := time.Unix(0, 0)
@@ -60,17 +60,17 @@
 	c.Assert(seen, qt.DeepEquals, map[Backlog]bool{{}: true, {10, 1}: true, {20, 2}: true, {30, 3}: true})
 }
 
-// TestSumsAreThoseOfAllReports guards against sums that drift from the reports that they
-// are kept up from: an engine would look full, or empty, for ever.
+// TestSumsAreThoseOfAllReports guards against incrementally updated sums that drift from the
+// reports: an engine would appear full, or idle, permanently.
 func TestSumsAreThoseOfAllReports(t *testing.T) {
 	c := qt.New(t)
 	rng := rand.New(rand.NewPCG(5, 6))
 	entries := []api.InstanceID{"a", "b", "c", "self", "d"}
 	targets := []api.TargetID{"s", "t", "u", "v"}
 	table, got := NewTable("self"), view{}
-	// loads and heard are the reports as they were made.
+	// loads and reportedAt hold the last load of each entry and the time of its last report.
 	loads := map[api.InstanceID]map[api.TargetID]Load{}
-	heard := map[api.InstanceID]time.Time{}
+	reportedAt := map[api.InstanceID]time.Time{}
 	now := time.Unix(0, 0)
 	for range 5000 {
 		now = now.Add(time.Duration(rng.IntN(700)) * time.Millisecond)
@@ -85,21 +85,21 @@
 				loads[r.Entry][id] = l
 			}
 		}
-		heard[r.Entry] = now
+		reportedAt[r.Entry] = now
 		table.Put(r, now)
 		count := got.take(table, now)
 
 		want, others := view{}, 0
-		for id, at := range heard {
+		for id, at := range reportedAt {
 			if now.Sub(at) > Stale {
 				delete(loads, id)
-				delete(heard, id)
+				delete(reportedAt, id)
 			} else if id != "self" {
 				others++
 				for target, l := range loads[id] {
 					sum := want[target]
 					sum.Target, sum.Load = target, sum.Load.Add(l)
-					if before(target, id, "self") {
+					if migratesBefore(target, id, "self") {
 						sum.Ahead.Tokens += l.Moving
 						sum.Ahead.Runs += l.MovingRuns
 					}
@@ -113,8 +113,9 @@
 	}
 }
 
-// Reports of changes, gathered on the way or not, must come to the same as whole
-// ones: a load that stayed behind would keep requests from a target for ever.
+// Guards against a load that remains after it has ended and keeps requests away from a
+// target. Reports of changes, merged in any grouping, must have the same result as a
+// report of the whole load.
 func TestChangesComeToTheSameAsTheWhole(t *testing.T) {
 	c := qt.New(t)
 	rng := rand.New(rand.NewPCG(3, 4))
@@ -127,24 +128,24 @@
 		}
 		return list
 	}
-	held := draw()
-	have := Report{Entry: "x", Whole: true, List: held}
+	current := draw()
+	report := Report{Entry: "x", Whole: true, List: current}
 	for range 500 {
 		mid, next := draw(), draw()
-		one := Report{Entry: "x", List: changes(held, mid)}
+		one := Report{Entry: "x", List: changes(current, mid)}
 		two := Report{Entry: "x", List: changes(mid, next)}
-		apart := have.Merge(one).Merge(two)
-		gathered := have.Merge(one.Merge(two))
-		c.Assert(len(apart.List), qt.Equals, len(next))
+		separate := report.Merge(one).Merge(two)
+		merged := report.Merge(one.Merge(two))
+		c.Assert(len(separate.List), qt.Equals, len(next))
 		if len(next) > 0 {
-			c.Assert(apart.List, qt.DeepEquals, next)
-			c.Assert(gathered.List, qt.DeepEquals, next)
+			c.Assert(separate.List, qt.DeepEquals, next)
+			c.Assert(merged.List, qt.DeepEquals, next)
 		}
-		held, have = next, apart
+		current, report = next, separate
 	}
 }
 
-// changes gives what differs between two whole lists, in the order of the names.
+// changes returns the differences between two whole lists, sorted by target name.
 func changes(from, to []TargetLoad) []TargetLoad {
 	var out []TargetLoad
 	for len(from) > 0 || len(to) > 0 {
