--- a/core/placement/placement.go
+++ b/core/placement/placement.go
@@ -152,9 +152,9 @@
 	return out
 }
 
-// Taken returns the fraction of the total memory of all targets that is in use. Excluded
+// MemoryUse returns the fraction of the total memory of all targets that is in use. Excluded
 // targets are not counted.
-func Taken(list []Candidate) float64 {
+func MemoryUse(list []Candidate) float64 {
 	tokens, capacity := 0, 0
 	for i := range list {
 		if !list[i].Excluded {
--- a/core/placement/placement_test.go
+++ b/core/placement/placement_test.go
@@ -73,9 +73,9 @@
 
 // Checks the total memory use: excluded targets are not counted, and plain services
 // contribute nothing because they have no memory of their own.
-func TestTaken(t *testing.T) {
+func TestMemoryUse(t *testing.T) {
 	c := qt.New(t)
-	c.Assert(Taken(nil), qt.Equals, 0.0)
-	c.Assert(Taken([]Candidate{{Slots: 6, Running: 6}}), qt.Equals, 0.0)
-	c.Assert(Taken([]Candidate{{Capacity: 100, Tokens: 80}, {Capacity: 300}, {Capacity: 100, Tokens: 100, Excluded: true}}), qt.Equals, 0.2)
+	c.Assert(MemoryUse(nil), qt.Equals, 0.0)
+	c.Assert(MemoryUse([]Candidate{{Slots: 6, Running: 6}}), qt.Equals, 0.0)
+	c.Assert(MemoryUse([]Candidate{{Capacity: 100, Tokens: 80}, {Capacity: 300}, {Capacity: 100, Tokens: 100, Excluded: true}}), qt.Equals, 0.2)
 }
--- a/node/relay/standby.go
+++ b/node/relay/standby.go
@@ -29,7 +29,7 @@
 	}
 	list := s.relay.targets.Of(s.req.Service)
 	candidates := s.relay.copyCandidates(s.req, list, []*Target{t}, time.Now())
-	fill := handoff.StandbyFill(e.Moves, placement.Taken(candidates))
+	fill := handoff.StandbyFill(e.Moves, placement.MemoryUse(candidates))
 	if fill == 0 {
 		return nil
 	}
