--- a/bench/policy/routers.go
+++ b/bench/policy/routers.go
@@ -169,7 +169,7 @@
 	}
 	var out []*node
 	for len(got) > 0 {
-		i := routing.Compare(got)
+		i := routing.BestBid(got)
 		if i < 0 {
 			break
 		}
--- a/bench/policy/ways.go
+++ b/bench/policy/ways.go
@@ -103,7 +103,7 @@
 		}
 		got = append(got, b)
 	}
-	best := routing.Compare(got)
+	best := routing.BestBid(got)
 	for i, b := range got {
 		if i != best {
 			w.byID[b.From.ID].gate.(*ours).ctl.Release(c.id)
--- a/core/routing/bid.go
+++ b/core/routing/bid.go
@@ -29,10 +29,10 @@
 // cost returns the bid's wait plus the penalty of another zone; lower is better.
 func (b *Bid) cost() time.Duration { return b.Wait + b.From.ZoneWait }
 
-// Compare returns the index of the best bid: of the bids whose cost is within tieWait
+// BestBid returns the index of the best bid: of the bids whose cost is within tieWait
 // of the lowest, the one with the lowest score, then the one with the most prompt
 // tokens cached. It returns -1 when every bid refuses.
-func Compare(bids []Bid) int {
+func BestBid(bids []Bid) int {
 	first, ok := earliest(bids)
 	if !ok {
 		return -1
--- a/core/routing/routing_test.go
+++ b/core/routing/routing_test.go
@@ -216,7 +216,7 @@
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
 			c := qt.New(t)
-			c.Assert(Compare(tt.bids), qt.Equals, tt.best)
+			c.Assert(BestBid(tt.bids), qt.Equals, tt.best)
 			if tt.best < 0 {
 				e := Refusal(tt.bids)
 				c.Assert(e.Outcome, qt.Equals, api.OutcomeNotRun)
--- a/node/entry/dispatch.go
+++ b/node/entry/dispatch.go
@@ -205,7 +205,7 @@
 	if len(got) == 0 {
 		return ask[0].peer, nil // all silent: the offer's own deadline decides
 	}
-	best := routing.Compare(got)
+	best := routing.BestBid(got)
 	if best < 0 {
 		for _, b := range got {
 			e.refusedBy(r, b.From.ID, b.Refuse)
