--- a/core/limit/bench_test.go
+++ b/core/limit/bench_test.go
@@ -7,7 +7,7 @@
 	"almondseam.dev/core/api"
 )
 
-// BenchmarkAcquire is one request of a leased customer, from all processors.
+// BenchmarkAcquire measures one Acquire and Release, in parallel on all processors.
 func BenchmarkAcquire(b *testing.B) {
 	for _, customers := range []int{1, 1700} {
 		b.Run(fmt.Sprint(customers), func(b *testing.B) {
@@ -24,6 +24,7 @@
 	}
 }
 
+// manyCustomers returns a holder with n customers, and their IDs.
 func manyCustomers(n int) (*Holder, []api.CustomerID) {
 	limits := make(map[api.CustomerID]Limit, n)
 	names := make([]api.CustomerID, n)
@@ -37,8 +38,8 @@
 	return h, names
 }
 
-// BenchmarkRenew is what a grantor does for one request of 30 customers when as
-// many entries as given hold shares of each.
+// BenchmarkRenew measures a grantor's handling of one request that lists 30
+// customers, with 3, 32 or 320 entries that hold shares of each customer.
 func BenchmarkRenew(b *testing.B) {
 	for _, entries := range []int{3, 32, 320} {
 		b.Run(fmt.Sprint(entries), func(b *testing.B) {
@@ -71,7 +72,7 @@
 	}
 }
 
-// confirm makes the wants those of a holder that has its last lease in force.
+// confirm sets the wants to report that the lease numbered seq is in force.
 func confirm(wants []Want, seq uint64) {
 	for i := range wants {
 		wants[i].HeldSeq, wants[i].Remaining = seq, DefaultTiming.TTL
--- a/core/limit/cap.go
+++ b/core/limit/cap.go
@@ -7,29 +7,29 @@
 	"almondseam.dev/core/api"
 )
 
-// Cap bounds something that one process has in hand, such as connections or
-// bytes in buffers. It is safe for use from several goroutines.
+// Cap bounds a resource of one process, such as connections or buffered bytes.
+// It is safe for concurrent use.
 type Cap struct {
-	most   atomic.Int64
+	limit  atomic.Int64
 	reason api.Reason
 	retry  time.Duration
 	used   atomic.Int64
 }
 
-// NewCap gives a cap of most units. A refusal has the given reason and
+// NewCap returns a cap of limit units. Refusals carry reason, and retry as their
 // RetryAfter.
-func NewCap(most int64, reason api.Reason, retry time.Duration) *Cap {
+func NewCap(limit int64, reason api.Reason, retry time.Duration) *Cap {
 	c := &Cap{reason: reason, retry: retry}
-	c.most.Store(most)
+	c.limit.Store(limit)
 	return c
 }
 
-// Set bounds what is taken from now on; what is in hand beyond it stays.
-func (c *Cap) Set(most int64) { c.most.Store(most) }
+// Set changes the limit. Units already taken beyond a lowered limit stay taken.
+func (c *Cap) Set(limit int64) { c.limit.Store(limit) }
 
-// Take takes n units or refuses.
+// Take takes n units, or returns a refusal if that would exceed the limit.
 func (c *Cap) Take(n int64) *api.Error {
-	if c.used.Add(n) <= c.most.Load() {
+	if c.used.Add(n) <= c.limit.Load() {
 		return nil
 	}
 	c.used.Add(-n)
@@ -38,8 +38,8 @@
 	return e
 }
 
-// Give gives back n units that Take took.
+// Give returns n units that Take has taken.
 func (c *Cap) Give(n int64) { c.used.Add(-n) }
 
-// Used gives the number of units taken.
+// Used returns the number of units taken.
 func (c *Cap) Used() int64 { return c.used.Load() }
--- a/core/limit/customer.go
+++ b/core/limit/customer.go
@@ -10,20 +10,22 @@
 )
 
 const (
-	// defaultSaved is the time over which unused rate is kept, if the limit
-	// doesn't say.
-	defaultSaved = 2 * time.Second
-	// noLeaseRetry is the RetryAfter while the first lease is on its way: about
-	// two journeys between zones.
+	// defaultBurstWindow is the time over which unused rate accumulates if the
+	// limit doesn't set Burst.
+	defaultBurstWindow = 2 * time.Second
+	// noLeaseRetry is the RetryAfter of a refusal for lack of a lease: a request
+	// and its grant take about two network trips between availability zones.
 	noLeaseRetry = 50 * time.Millisecond
 	// minRetry and maxRetry bound the RetryAfter of a refusal.
 	minRetry = 100 * time.Millisecond
 	maxRetry = time.Minute
-	// decay is the weight of what was seen before in averages.
+	// decay is the weight of the earlier value in a moving average, and the factor
+	// by which recorded demand decays per Timing.Renew.
 	decay = 0.7
 )
 
-// share is what a customer may use at this entry; it is replaced as a whole.
+// share is what a customer may use at this entry. It is immutable once stored and
+// is replaced as a whole.
 type share struct {
 	limit   Limit
 	floor   floor
@@ -32,14 +34,14 @@
 	expires time.Time
 }
 
-// floor is what may be used without a lease. It shrinks at once and grows to
-// next at from.
+// floor is what may be used without a lease. A decrease takes effect at once, an
+// increase to next only at from.
 type floor struct {
 	now, next Share
 	from      time.Time
 }
 
-// at gives the floor in force.
+// at returns the floor in force at a time.
 func (f *floor) at(now time.Time) Share {
 	if now.Before(f.from) {
 		return f.now
@@ -47,13 +49,14 @@
 	return f.next
 }
 
-// to gives the floor that follows when next is due from the given time on.
-func (f *floor) to(next Share, from, now time.Time) floor {
+// changed returns the floor that results when next takes effect at from.
+func (f *floor) changed(next Share, from, now time.Time) floor {
 	cur := f.at(now)
 	return floor{now: Share{min(cur.Slots, next.Slots), min(cur.Rate, next.Rate)}, next: next, from: from}
 }
 
-// at gives the part in force. The floor counts until floorEnds.
+// at returns what may be used at a time: the larger of the lease in force and the
+// floor, which is in force until floorEnds.
 func (s *share) at(now, floorEnds time.Time) Share {
 	var out Share
 	if now.Before(s.expires) {
@@ -67,39 +70,44 @@
 	return out
 }
 
-// customer is the state of one customer at one entry. inUse moves by
-// compare-and-swap against the share; the bucket has a lock of its own, held
-// for a few instructions.
+// customer is the state of one customer at one entry. Slots are taken by
+// compare-and-swap on inUse, without a lock; mu guards the token bucket and the
+// demand statistics and is held only briefly.
 type customer struct {
 	id api.CustomerID
-	// floorEnds is the holder's, in nanoseconds since the epoch.
+	// floorEnds points to Holder.floorEnds, in Unix nanoseconds.
 	floorEnds *atomic.Int64
 	share     atomic.Pointer[share]
 	inUse     atomic.Int64
 	waiting   atomic.Bool
-	// notBefore is the first sequence number whose lease may be applied: in an
-	// earlier request the grantor was told that nothing is held here.
+	// notBefore is the Seq of the last request that didn't list this customer,
+	// which told the grantor that nothing is held here. Leases that answer earlier
+	// requests must not be applied any more.
 	notBefore atomic.Uint64
 
 	mu     sync.Mutex
 	level  float64
 	filled time.Time
-	// primed tells that the first lease has given half of the bucket. A floor
-	// gives nothing at once: many entries may have one.
+	// primed is set once the first lease has filled the bucket to at least half.
+	// Under a floor alone the bucket starts empty, because many entries may have
+	// a floor at the same time.
 	primed bool
-	// what was wanted since the last want, and how long requests take.
+	// peak, refused and tokens are the demand since demand was last called,
+	// wantedSlots and wantedRate the decaying demand as of wantedAt.
 	peak        int64
 	refused     int64
 	tokens      int64
 	wantedSlots float64
 	wantedRate  float64
 	wantedAt    time.Time
-	held        time.Duration
+	// duration is the moving average of how long requests take.
+	duration time.Duration
 }
 
 func (cu *customer) limit() Limit { return cu.share.Load().limit }
 
-// setLimit is called under the holder's lock, as is apply.
+// setLimit replaces the limit and the floor. The caller holds the holder's lock,
+// as for apply.
 func (cu *customer) setLimit(l Limit, f floor) {
 	next := share{}
 	if old := cu.share.Load(); old != nil {
@@ -109,11 +117,13 @@
 	cu.share.Store(&next)
 }
 
-// part gives what may be used now.
-func (cu *customer) part(now time.Time) Share {
+// allowance returns what may be used at this entry now.
+func (cu *customer) allowance(now time.Time) Share {
 	return cu.share.Load().at(now, time.Unix(0, cu.floorEnds.Load()))
 }
 
+// apply puts a lease in force unless it has expired, is no newer than the present
+// one, or answers a request before notBefore. seq is the Seq of that request.
 func (cu *customer) apply(s Share, seq uint64, expires, now time.Time) {
 	old := cu.share.Load()
 	if seq <= old.seq || seq < cu.notBefore.Load() || !now.Before(expires) {
@@ -124,17 +134,18 @@
 	cu.share.Store(&next)
 }
 
+// acquire takes a slot and est tokens for one request, or returns a refusal.
 func (cu *customer) acquire(est int64, now time.Time) *api.Error {
 	s := cu.share.Load()
-	part := cu.part(now)
+	allowance := cu.allowance(now)
 	leased := now.Before(s.expires)
-	if s.limit.Slots > 0 && !cu.take(part.Slots) {
+	if s.limit.Slots > 0 && !cu.takeSlot(allowance.Slots) {
 		return cu.refuse(api.ReasonConcurrencyLimit, leased, cu.slotWait(), est)
 	}
 	if s.limit.Slots == 0 {
 		cu.inUse.Add(1)
 	}
-	wait, ok := cu.charge(est, s.limit, part.Rate, leased, now)
+	wait, ok := cu.takeTokens(est, s.limit, allowance.Rate, leased, now)
 	if !ok {
 		cu.inUse.Add(-1)
 		return cu.refuse(api.ReasonTokenRateLimit, leased, wait, est)
@@ -142,8 +153,9 @@
 	return nil
 }
 
-// take counts one more request under way unless that would pass the share.
-func (cu *customer) take(slots int64) bool {
+// takeSlot counts one more request in progress, or returns false if all slots are
+// in use.
+func (cu *customer) takeSlot(slots int64) bool {
 	for {
 		n := cu.inUse.Load()
 		if n >= slots {
@@ -155,22 +167,24 @@
 	}
 }
 
-// charge takes est tokens from the bucket. An estimate above what the bucket
-// can ever hold passes when the bucket is full: else it would never run.
-func (cu *customer) charge(est int64, l Limit, rate int64, leased bool, now time.Time) (time.Duration, bool) {
+// takeTokens takes est tokens from the bucket, or returns false and the time until
+// they are available. An estimate above the bucket's capacity is admitted when the
+// bucket is full, since it could never run otherwise; the level then goes below
+// zero.
+func (cu *customer) takeTokens(est int64, l Limit, rate int64, leased bool, now time.Time) (time.Duration, bool) {
 	cu.mu.Lock()
 	defer cu.mu.Unlock()
 	cu.peak = max(cu.peak, cu.inUse.Load())
 	if l.Rate == 0 {
 		return 0, true
 	}
-	most := float64(rate) * l.saved().Seconds()
-	cu.fill(float64(rate), most, now)
+	capacity := float64(rate) * l.burstWindow().Seconds()
+	cu.refill(float64(rate), capacity, now)
 	if leased && !cu.primed {
 		cu.primed = true
-		cu.level = max(cu.level, most/2)
+		cu.level = max(cu.level, capacity/2)
 	}
-	need := min(float64(est), most)
+	need := min(float64(est), capacity)
 	if cu.level < need || rate == 0 {
 		return cu.tokenWait(need, float64(rate)), false
 	}
@@ -179,15 +193,16 @@
 	return 0, true
 }
 
-// fill adds what has accrued.
-func (cu *customer) fill(rate, most float64, now time.Time) {
+// refill adds the tokens that have accrued since the last call.
+func (cu *customer) refill(rate, capacity float64, now time.Time) {
 	if d := now.Sub(cu.filled); d > 0 && !cu.filled.IsZero() {
 		cu.level += rate * d.Seconds()
 	}
-	cu.level = min(cu.level, most)
+	cu.level = min(cu.level, capacity)
 	cu.filled = now
 }
 
+// tokenWait returns the time until the bucket holds need tokens.
 func (cu *customer) tokenWait(need, rate float64) time.Duration {
 	if rate == 0 {
 		return maxRetry
@@ -195,14 +210,15 @@
 	return time.Duration((need - cu.level) / rate * float64(time.Second))
 }
 
-// slotWait estimates when a slot frees: requests last held on average, and
-// inUse of them end over that time.
+// slotWait estimates the time until a slot becomes free: inUse requests end within
+// about one mean duration.
 func (cu *customer) slotWait() time.Duration {
 	cu.mu.Lock()
 	defer cu.mu.Unlock()
-	return cu.held / time.Duration(max(1, cu.inUse.Load()))
+	return cu.duration / time.Duration(max(1, cu.inUse.Load()))
 }
 
+// refuse counts a refused request as demand and returns its refusal.
 func (cu *customer) refuse(r api.Reason, leased bool, wait time.Duration, est int64) *api.Error {
 	cu.mu.Lock()
 	cu.refused++
@@ -218,19 +234,21 @@
 	return e
 }
 
-// release settles a request: what the estimate took too much goes back, what
-// it took too little is owed.
+// release frees the request's slot and replaces its estimate by the tokens used:
+// the excess of the estimate is returned to the bucket, a shortfall is taken from
+// it and may leave it below zero.
 func (cu *customer) release(est, tokens int64, took time.Duration, now time.Time) {
 	cu.inUse.Add(-1)
 	cu.mu.Lock()
 	defer cu.mu.Unlock()
 	cu.level += float64(est - tokens)
 	cu.tokens += tokens - est
-	cu.held = time.Duration(decay*float64(cu.held) + (1-decay)*float64(took))
+	cu.duration = time.Duration(decay*float64(cu.duration) + (1-decay)*float64(took))
 }
 
-// want tells the owner of this customer's state; false when there is nothing
-// to tell. seq is the number of the request that it goes into.
+// want returns the customer's state for the request numbered seq to its owner, and
+// false if the customer is idle and holds nothing. The request then doesn't list
+// it, and leases that answer earlier requests are not applied any more.
 func (cu *customer) want(seq uint64, now time.Time, t Timing) (Want, bool) {
 	s := cu.share.Load()
 	cu.waiting.Store(false)
@@ -247,11 +265,11 @@
 	}, true
 }
 
-// demand sums up what was wanted: the peak under way with what was refused,
-// and the tokens a second, refused ones included. Both fade at a rate that
-// doesn't depend on how often this is called: were they forgotten at once, a
-// second call before the first grant arrives would tell the grantor that
-// nothing is wanted.
+// demand returns the customer's demand: the peak of concurrent requests plus the
+// refused ones, and the tokens per second including those of refused requests.
+// Both decay at a rate that doesn't depend on how often demand is called. If they
+// were reset with each call, a second call before the first grant arrives would
+// report to the grantor that nothing is wanted.
 func (cu *customer) demand(inUse int64, now time.Time, t Timing) (slots, rate int64) {
 	cu.mu.Lock()
 	defer cu.mu.Unlock()
@@ -259,17 +277,17 @@
 	if !cu.wantedAt.IsZero() {
 		elapsed = max(0, now.Sub(cu.wantedAt))
 	}
-	fade := math.Pow(decay, float64(elapsed)/float64(t.Renew))
+	factor := math.Pow(decay, float64(elapsed)/float64(t.Renew))
 	seen := float64(max(0, cu.tokens)) / max(elapsed, t.Renew/8).Seconds()
-	cu.wantedRate = faded(cu.wantedRate*fade, seen)
-	cu.wantedSlots = faded(cu.wantedSlots*fade, float64(max(cu.peak, inUse)+cu.refused))
+	cu.wantedRate = decayed(cu.wantedRate*factor, seen)
+	cu.wantedSlots = decayed(cu.wantedSlots*factor, float64(max(cu.peak, inUse)+cu.refused))
 	cu.peak, cu.refused, cu.tokens, cu.wantedAt = inUse, 0, 0, now
 	return int64(math.Ceil(cu.wantedSlots)), int64(math.Ceil(cu.wantedRate))
 }
 
-// faded gives the larger of what is left of an earlier figure and a new one;
-// less than a half is nothing.
-func faded(left, seen float64) float64 {
+// decayed returns the larger of left, the decayed earlier value, and seen, the new
+// one; values below 0.5 become zero.
+func decayed(left, seen float64) float64 {
 	if v := max(left, seen); v >= 0.5 {
 		return v
 	}
--- a/core/limit/grantor.go
+++ b/core/limit/grantor.go
@@ -8,10 +8,11 @@
 	"almondseam.dev/core/api"
 )
 
-// Grantor hands out shares of the customers that its entry owns. Its memory is
-// its own: a grantor that is new to a customer, by a restart or by a change of
-// roster, first lets holders go on with what they have (recovery). Methods may
-// be called from several goroutines; none is on a request's path.
+// Grantor grants shares of the limits of the customers that its entry owns. Its
+// state is neither persisted nor replicated: a grantor that becomes the owner of a
+// customer, by a restart or a change of the roster, at first only renews what
+// holders already have (recovery). It is safe for concurrent use, and no method is
+// called on the request path.
 type Grantor struct {
 	self   api.InstanceID
 	timing Timing
@@ -21,21 +22,22 @@
 	roster  Roster
 	ledgers map[api.CustomerID]*ledger
 	peers   map[api.InstanceID]peer
-	// unheard lists the entries that may hold leases which this grantor hasn't
-	// been told of; recoverUntil is when those have run out.
-	unheard      map[api.InstanceID]bool
+	// unreported holds the entries that may hold leases which they haven't
+	// reported to this grantor; recoverUntil is when all of those have expired.
+	unreported   map[api.InstanceID]bool
 	recoverUntil time.Time
-	// authority is until when the roster is known to be in force.
-	authority time.Time
+	// authorityEnds is until when this grantor may grant leases under the roster
+	// without another confirmation that it is in force.
+	authorityEnds time.Time
 }
 
-// peer is the last request seen of a holder.
+// peer identifies the last request received from a holder.
 type peer struct {
 	incarnation api.Incarnation
 	seq         uint64
 }
 
-// NewGrantor gives a grantor that owns nothing until SetRoster.
+// NewGrantor returns a grantor that owns no customer until SetRoster is called.
 func NewGrantor(self api.InstanceID, t Timing) *Grantor {
 	return &Grantor{
 		self: self, timing: t,
@@ -44,59 +46,61 @@
 	}
 }
 
-// SetLimits replaces the limits of all customers. A limit that was lowered is
-// reached as holders renew. The map must not change afterwards.
+// SetLimits replaces the limits of all customers. A lowered limit takes effect as
+// holders renew their leases. The map must not be changed afterwards.
 func (g *Grantor) SetLimits(limits map[api.CustomerID]Limit) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	g.limits = limits
 }
 
-// SetRoster takes a later roster; confirmed is when the question to which it is
-// the answer was sent. An earlier roster is ignored; the same one renews the
-// grantor's authority.
+// SetRoster applies the roster that is in force at the control group; confirmed is
+// when this entry sent the query for it. An earlier roster is ignored, and the
+// present one only renews the grantor's authority.
 //
-// Authority keeps two grantors of one customer apart: an entry that is cut off
-// from the control group goes on with the old roster, while the others have
-// moved on. It stops granting when its authority runs out, and the next owner
-// waits for that and for the leases under it.
+// The authority keeps two owners of one customer from granting the same share. An
+// entry without contact to the control group goes on with the old roster while the
+// others have replaced it. It stops granting when its authority expires, and the
+// next owner waits for that and for the leases granted until then.
 func (g *Grantor) SetRoster(r Roster, confirmed, now time.Time) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	if r.Epoch < g.roster.Epoch {
 		return
 	}
-	g.authority = latest(g.authority, confirmed.Add(g.timing.TTL))
+	g.authorityEnds = latest(g.authorityEnds, confirmed.Add(g.timing.TTL))
 	if r.Epoch == g.roster.Epoch {
 		return
 	}
 	old := g.roster
 	g.roster = r
-	g.recover(old, now)
-	g.forget(old)
+	g.startRecovery(old, now)
+	g.dropLedgers(old)
 }
 
-// recover starts the wait that follows a change of roster. It ends early once
-// every entry of both rosters has told under the new epoch what it holds: a
-// holder takes no grant of an earlier epoch after that. When leases of rosters
-// that this grantor never saw may be in force, nothing ends it early.
-func (g *Grantor) recover(old Roster, now time.Time) {
+// startRecovery starts the recovery that follows a change of the roster. It ends
+// early once every entry of both rosters has reported under the new epoch what it
+// holds, since a holder accepts no grant of an earlier epoch after that. It doesn't
+// end early if leases may be in force under a roster that this grantor never
+// received; the empty entry ID in unreported stands for their holders.
+func (g *Grantor) startRecovery(old Roster, now time.Time) {
 	wait := g.timing.recovery()
 	if !g.recovering(now) {
-		g.unheard = make(map[api.InstanceID]bool)
+		g.unreported = make(map[api.InstanceID]bool)
 	}
 	for _, e := range slices.Concat(old.Entries, g.roster.Entries) {
-		g.unheard[e] = true
+		g.unreported[e] = true
 	}
 	if g.roster.Epoch != old.Epoch+1 && g.roster.Age < wait {
-		g.unheard[""] = true
+		g.unreported[""] = true
 	}
 	g.recoverUntil = now.Add(wait)
 }
 
-// forget drops the ledgers of customers that this entry doesn't own now, and
-// all of them when a roster between the two may have given them to another.
-func (g *Grantor) forget(old Roster) {
+// dropLedgers drops the ledgers of customers that this entry no longer owns, and
+// all ledgers if this grantor missed a roster in between, under which another entry
+// may have owned the customers.
+func (g *Grantor) dropLedgers(old Roster) {
 	for c := range g.ledgers {
 		if g.roster.Epoch != old.Epoch+1 || g.roster.Owner(c) != g.self {
 			delete(g.ledgers, c)
@@ -105,19 +109,20 @@
 }
 
 func (g *Grantor) recovering(now time.Time) bool {
-	return len(g.unheard) > 0 && now.Before(g.recoverUntil)
+	return len(g.unreported) > 0 && now.Before(g.recoverUntil)
 }
 
-// Step answers a request; false means that there is nothing to answer: the
-// request is old, of another epoch, or this grantor has no authority.
+// Step applies a request and returns the grant that answers it. It returns false if
+// the request is outdated, is of another epoch or comes from outside the roster, or
+// if this grantor's authority has expired.
 func (g *Grantor) Step(req Request, now time.Time) (Grant, bool) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	if !g.accept(req, now) {
 		return Grant{}, false
 	}
-	delete(g.unheard, req.Holder)
-	g.release(req)
+	delete(g.unreported, req.Holder)
+	g.dropUnlisted(req)
 	out := Grant{
 		Epoch: req.Epoch, Grantor: g.self, Holder: req.Holder,
 		Incarnation: req.Incarnation, Seq: req.Seq, TTL: g.timing.TTL,
@@ -130,10 +135,12 @@
 	return out, true
 }
 
-// accept checks a request. One that comes late or twice is dropped: it tells of
-// a state that the holder has left, and its lease would have run out the sooner.
+// accept reports whether a request is to be answered, and records it as the last one
+// of its holder. A late or duplicate request is dropped: the state that it reports
+// is outdated, and a lease granted for it would expire earlier than that of a later
+// request.
 func (g *Grantor) accept(req Request, now time.Time) bool {
-	if req.Epoch != g.roster.Epoch || !now.Before(g.authority) {
+	if req.Epoch != g.roster.Epoch || !now.Before(g.authorityEnds) {
 		return false
 	}
 	if !slices.Contains(g.roster.Entries, req.Holder) {
@@ -144,21 +151,23 @@
 		return false
 	}
 	if req.Incarnation > p.incarnation {
-		g.restarted(req.Holder)
+		g.dropHolder(req.Holder)
 	}
 	g.peers[req.Holder] = peer{req.Incarnation, req.Seq}
 	return true
 }
 
-// restarted frees what an earlier incarnation held: its requests ended with it.
-func (g *Grantor) restarted(h api.InstanceID) {
+// dropHolder drops the accounts of a holder that has restarted: the requests of its
+// earlier incarnation ended with that.
+func (g *Grantor) dropHolder(h api.InstanceID) {
 	for _, l := range g.ledgers {
 		l.drop(h)
 	}
 }
 
-// release frees what the holder doesn't list.
-func (g *Grantor) release(req Request) {
+// dropUnlisted drops the holder's accounts for customers that the request doesn't
+// list.
+func (g *Grantor) dropUnlisted(req Request) {
 	for c, l := range g.ledgers {
 		if l.holders[req.Holder] == nil {
 			continue
@@ -169,6 +178,8 @@
 	}
 }
 
+// grant returns the share that answers one want, and false for an unknown customer or
+// one that this entry doesn't own.
 func (g *Grantor) grant(req Request, w Want, now time.Time) (Share, bool) {
 	lim, ok := g.limits[w.Customer]
 	if !ok {
@@ -183,7 +194,7 @@
 		g.ledgers[w.Customer] = l
 	}
 	l.entries = len(g.roster.Entries)
-	a := l.settle(req.Holder, w, now, g.timing)
+	a := l.update(req.Holder, w, now, g.timing)
 	l.complete = l.complete || !g.recovering(now)
 	s := l.grant(req.Holder, lim, w, !l.complete, now, g.timing)
 	a.add(outstanding{seq: req.Seq, Share: s, expires: now.Add(g.timing.TTL + g.timing.Margin)})
@@ -191,7 +202,8 @@
 	return s, true
 }
 
-// Tick forgets what no longer counts. It is due about once per Timing.TTL.
+// Tick drops idle accounts and empty ledgers. The caller runs it about once per
+// Timing.TTL or more often.
 func (g *Grantor) Tick(now time.Time) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -207,8 +219,8 @@
 	}
 }
 
-// Committed gives the part of a customer's limit that holders may be using, for
-// operators.
+// Committed returns the part of a customer's limit that holders may be using, for
+// display to operators.
 func (g *Grantor) Committed(c api.CustomerID, now time.Time) Share {
 	g.mu.Lock()
 	defer g.mu.Unlock()
--- a/core/limit/holder.go
+++ b/core/limit/holder.go
@@ -10,46 +10,49 @@
 	"almondseam.dev/core/api"
 )
 
-// sentKept is the number of requests whose time of sending is remembered; a
-// grant for an older one is dropped.
+// sentKept is the number of requests whose send time is kept. A grant that answers
+// an older request is dropped.
 const sentKept = 32
 
-// Holder answers an entry's requests from the shares that it holds. Acquire and
-// Permit.Release are on the request's path and touch one customer's state only;
-// the other methods may be called from any goroutine beside them.
+// Holder admits an entry's requests within the shares that the entry holds. It is
+// safe for concurrent use. Acquire and Permit.Release are on the request path and
+// touch only the state of one customer.
 type Holder struct {
 	self        api.InstanceID
 	incarnation api.Incarnation
 	timing      Timing
 	customers   atomic.Pointer[map[api.CustomerID]*customer]
-	// floorEnds is when the floors end unless the roster is confirmed again.
+	// floorEnds is when the floors expire unless the roster is confirmed again,
+	// in Unix nanoseconds.
 	floorEnds atomic.Int64
 
 	mu     sync.Mutex
 	roster Roster
-	// grows is when the floors of this roster are in force.
-	grows time.Time
-	seq   uint64
-	sent  [sentKept]sentAt
-	// told holds the owners that have something of ours on their books, or
-	// haven't heard from us under this epoch.
-	told map[api.InstanceID]bool
+	// floorsFrom is when increases of the floors under this roster take effect.
+	floorsFrom time.Time
+	seq        uint64
+	sent       [sentKept]sentAt
+	// reportTo holds the grantors that get the next request even if it lists no
+	// customer: they may have leases of this holder on record, or may not have
+	// received a request from it in this epoch.
+	reportTo map[api.InstanceID]bool
 }
 
+// sentAt records when the requests numbered seq were sent.
 type sentAt struct {
 	seq uint64
 	at  time.Time
 }
 
-// NewHolder gives a holder without customers: all are refused as forbidden
-// until SetLimits.
+// NewHolder returns a holder without customers. It refuses all requests as
+// forbidden until SetLimits is called.
 func NewHolder(self api.InstanceID, inc api.Incarnation, t Timing) *Holder {
-	h := &Holder{self: self, incarnation: inc, timing: t, told: make(map[api.InstanceID]bool)}
+	h := &Holder{self: self, incarnation: inc, timing: t, reportTo: make(map[api.InstanceID]bool)}
 	h.customers.Store(&map[api.CustomerID]*customer{})
 	return h
 }
 
-// SetLimits replaces the limits of all customers; what is under way goes on.
+// SetLimits replaces the limits of all customers. Requests in progress continue.
 func (h *Holder) SetLimits(limits map[api.CustomerID]Limit, now time.Time) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -61,19 +64,20 @@
 			cu = &customer{id: id, floorEnds: &h.floorEnds}
 			cu.setLimit(l, floor{})
 		}
-		h.place(cu, l, now)
+		h.applyLimit(cu, l, now)
 		next[id] = cu
 	}
 	h.customers.Store(&next)
 }
 
-// SetRoster takes a later roster; confirmed is when the question to which it is
-// the answer was sent. The same roster again prolongs the floors. Leases in
-// force stay in force; grants of earlier epochs are not taken any more.
+// SetRoster applies the roster that is in force at the control group; confirmed is
+// when this entry sent the query for it. An earlier roster is ignored, and the
+// present one only extends the floors. Leases in force stay in force, but grants of
+// earlier epochs are no longer accepted.
 //
-// An entry that is cut off goes on with its floor under the roster that it
-// knows. The others' floors grow only once that has ended, so that the sum of
-// all floors never passes the slack.
+// A partitioned entry goes on using its floor under the roster that it knows. The
+// other entries' floors increase only after that floor has expired, so that the
+// sum of all floors never exceeds the slack.
 func (h *Holder) SetRoster(r Roster, confirmed, now time.Time) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -85,30 +89,31 @@
 	if r.Epoch == h.roster.Epoch {
 		return
 	}
-	h.grows = now.Add(h.timing.Floor + h.timing.floorMargin() - r.Age)
+	h.floorsFrom = now.Add(h.timing.Floor + h.timing.floorMargin() - r.Age)
 	if r.Epoch == 1 {
-		h.grows = now
+		h.floorsFrom = now
 	}
 	h.roster = r
-	clear(h.told)
+	clear(h.reportTo)
 	for _, e := range r.Entries {
-		h.told[e] = true
+		h.reportTo[e] = true
 	}
 	for _, cu := range *h.customers.Load() {
-		h.place(cu, cu.limit(), now)
+		h.applyLimit(cu, cu.limit(), now)
 	}
 }
 
-// place gives a customer its limit and its floor under the present roster.
-func (h *Holder) place(cu *customer, l Limit, now time.Time) {
+// applyLimit sets a customer's limit, and its floor under the present roster.
+func (h *Holder) applyLimit(cu *customer, l Limit, now time.Time) {
 	old := cu.share.Load()
 	next := h.roster.floor(cu.id, h.self, l)
-	cu.setLimit(l, old.floor.to(next, h.grows, now))
+	cu.setLimit(l, old.floor.changed(next, h.floorsFrom, now))
 }
 
-// Acquire starts a request of est tokens for a customer, or says why not: the
-// outcome is not_run and RetryAfter is when asking again may help. The cause is
-// ErrNoLease when no lease is here yet.
+// Acquire admits a request of an estimated est tokens for a customer. Otherwise it
+// returns a refusal with the outcome not_run and, unless the customer is unknown,
+// the time after which a retry may succeed. The cause of the refusal is ErrNoLease
+// if this entry holds no lease for the customer.
 func (h *Holder) Acquire(c api.CustomerID, est int64, now time.Time) (*Permit, *api.Error) {
 	cu := (*h.customers.Load())[c]
 	if cu == nil {
@@ -128,16 +133,17 @@
 	done  atomic.Bool
 }
 
-// Release ends the request and settles the tokens that it used in fact; zero
-// when it didn't run. Only the first call counts.
+// Release ends the request and accounts for the tokens that it actually used, zero
+// if it didn't run. Calls after the first have no effect.
 func (p *Permit) Release(tokens int64, now time.Time) {
 	if !p.done.Swap(true) {
 		p.cu.release(p.est, tokens, now.Sub(p.start), now)
 	}
 }
 
-// Tick gives the requests to send, by the grantor they go to. It is due every
-// Timing.Renew, and may be called sooner when a customer without a lease asks.
+// Tick returns the requests to send, keyed by the grantor that each is for. It must
+// be called every Timing.Renew, and may be called earlier if a request was refused
+// for lack of a lease.
 func (h *Holder) Tick(now time.Time) map[api.InstanceID]Request {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -145,7 +151,7 @@
 		return nil
 	}
 	out := make(map[api.InstanceID]Request)
-	for owner := range h.told {
+	for owner := range h.reportTo {
 		out[owner] = Request{}
 	}
 	for id, cu := range *h.customers.Load() {
@@ -158,13 +164,13 @@
 		req.Wants = append(req.Wants, w)
 		out[owner] = req
 	}
-	h.number(out, now)
+	h.stamp(out, now)
 	return out
 }
 
-// number stamps the requests, all with one sequence number, and remembers when
-// they were sent.
-func (h *Holder) number(out map[api.InstanceID]Request, now time.Time) {
+// stamp sets the sender and the epoch of the requests, gives all of them the same
+// sequence number, sorts their wants by customer, and records when they were sent.
+func (h *Holder) stamp(out map[api.InstanceID]Request, now time.Time) {
 	h.seq++
 	h.sent[h.seq%sentKept] = sentAt{h.seq, now}
 	for owner, req := range out {
@@ -172,13 +178,14 @@
 		req.Incarnation, req.Seq = h.incarnation, h.seq
 		slices.SortFunc(req.Wants, func(a, b Want) int { return compareIDs(a.Customer, b.Customer) })
 		out[owner] = req
-		h.told[owner] = true
+		h.reportTo[owner] = true
 	}
 }
 
-// Step applies a grant. The lease counts from when its request was sent, which
-// is before the grantor made it: the holder's time runs out first whatever the
-// delay. A grant that came late, twice or after a later one changes nothing.
+// Step applies a grant. A lease is in force from when its request was sent, which
+// is before the grantor granted it, so that it expires at the holder first however
+// long the messages were delayed. A grant that arrives expired, twice or after a later
+// one changes no lease.
 func (h *Holder) Step(g Grant, now time.Time) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -190,8 +197,8 @@
 		return
 	}
 	if len(g.Leases) == 0 && g.Seq == h.seq {
-		// The grantor has heard that we hold nothing of its customers.
-		delete(h.told, g.Grantor)
+		// The grantor knows that this holder has no leases for its customers.
+		delete(h.reportTo, g.Grantor)
 	}
 	customers := *h.customers.Load()
 	for _, l := range g.Leases {
@@ -201,8 +208,8 @@
 	}
 }
 
-// Waiting tells whether a customer was refused for want of a lease since the
-// last Tick, so that the next one is worth calling early.
+// Waiting reports whether a request was refused for lack of a lease since the last
+// Tick, in which case the next Tick is worth calling early.
 func (h *Holder) Waiting() bool {
 	for cu := range maps.Values(*h.customers.Load()) {
 		if cu.waiting.Load() {
--- a/core/limit/ledger.go
+++ b/core/limit/ledger.go
@@ -6,28 +6,31 @@
 	"almondseam.dev/core/api"
 )
 
-// outstanding is a lease that its holder may be using.
+// outstanding is a granted lease that its holder may be using.
 type outstanding struct {
 	seq uint64
 	Share
 	expires time.Time
 }
 
-// account is what a grantor knows of one holder's use of one customer's limit.
+// account records what a grantor knows of one holder's use of one customer's
+// limit.
 type account struct {
 	leases []outstanding
 	inUse  int64
-	// heard is when inUse was told.
-	heard time.Time
-	// counted is the part of the ledger's sum that stands for this account.
+	// reported is when the holder reported inUse.
+	reported time.Time
+	// counted is the part of the ledger's sum that comes from this account.
 	counted Share
 }
 
-// sweepsPerRenew is how often the sums are counted anew between renewals.
+// sweepsPerRenew is how many times per Timing.Renew a ledger's sum is recomputed
+// from its accounts, at most.
 const sweepsPerRenew = 4
 
-// maxOutstanding bounds the leases remembered apart; beyond it the two oldest
-// are taken together, which counts too much and never too little.
+// maxOutstanding bounds the leases recorded separately per account. Beyond it the
+// two oldest are merged, which may overestimate the use but never underestimates
+// it.
 const maxOutstanding = 8
 
 func (a *account) add(o outstanding) {
@@ -49,8 +52,8 @@
 	return b
 }
 
-// confirm drops the leases before the one that the holder says it has in
-// force: it applies leases in order, so it can't go back to them.
+// confirm drops the leases before seq, the one that the holder has reported to be
+// in force. A holder applies leases in order, so it can't return to earlier ones.
 func (a *account) confirm(seq uint64) {
 	kept := a.leases[:0]
 	for _, o := range a.leases {
@@ -61,9 +64,9 @@
 	a.leases = kept
 }
 
-// committed gives what the holder may be using. A lowered lease counts only
-// once the holder has confirmed it: the grant may be lost, and the holder goes
-// on with the one before until that runs out.
+// committed returns what the holder may be using. A lease lower than the previous
+// one takes effect here only once the holder has confirmed it: the grant may be
+// lost, and the holder then uses the previous lease until that expires.
 func (a *account) committed(now time.Time, t Timing) Share {
 	var c Share
 	for _, o := range a.leases {
@@ -74,13 +77,13 @@
 			c.Slots = max(c.Slots, o.Slots)
 		}
 	}
-	if now.Before(a.heard.Add(t.Linger)) {
+	if now.Before(a.reported.Add(t.Linger)) {
 		c.Slots = max(c.Slots, a.inUse)
 	}
 	return c
 }
 
-// prune forgets leases that no longer count.
+// prune drops leases that no longer count towards the committed share.
 func (a *account) prune(now time.Time, t Timing) {
 	kept := a.leases[:0]
 	for _, o := range a.leases {
@@ -91,26 +94,28 @@
 	a.leases = kept
 }
 
+// idle reports whether the account no longer counts towards the committed share.
 func (a *account) idle(now time.Time, t Timing) bool {
 	a.prune(now, t)
-	return len(a.leases) == 0 && !now.Before(a.heard.Add(t.Linger))
+	return len(a.leases) == 0 && !now.Before(a.reported.Add(t.Linger))
 }
 
-// ledger holds the accounts of one customer.
+// ledger holds the accounts of one customer at the grantor that owns it.
 type ledger struct {
 	customer api.CustomerID
 	holders  map[api.InstanceID]*account
 	// entries is the number of entries in the roster.
 	entries int
-	// slots and rates are the demands of holders.
+	// slots and rates are the holders' demands.
 	slots demands
 	rates demands
-	// sum is what holders may be using; it is counted anew at swept and kept up
-	// in between. Leases that have run out since count on: too much is safe.
+	// sum is what all holders may be using. It was last recomputed at swept and
+	// is updated incrementally since. Leases that expired in the meantime are
+	// still included, which is safe because it only overestimates the use.
 	sum   Share
 	swept time.Time
-	// complete tells that no lease is in force that isn't in holders; it stays
-	// true for as long as this grantor owns the customer.
+	// complete is set once every lease in force is recorded in holders. It stays
+	// set for as long as this grantor owns the customer.
 	complete bool
 }
 
@@ -118,7 +123,7 @@
 	return &ledger{customer: c, holders: make(map[api.InstanceID]*account)}
 }
 
-// recount brings the sum up to date with one account.
+// recount updates the sum with the present state of one account.
 func (l *ledger) recount(a *account, now time.Time, t Timing) {
 	c := a.committed(now, t)
 	l.sum.Slots += c.Slots - a.counted.Slots
@@ -126,8 +131,8 @@
 	a.counted = c
 }
 
-// sweep recounts all accounts, unless that was done lately: a grantor at full
-// size would otherwise look at hundreds of accounts for every grant.
+// sweep recounts all accounts unless that was done recently. Otherwise a grantor
+// in a large fleet would visit hundreds of accounts for every grant.
 func (l *ledger) sweep(now time.Time, t Timing) {
 	if now.Sub(l.swept) < t.Renew/sweepsPerRenew {
 		return
@@ -138,7 +143,7 @@
 	}
 }
 
-// drop forgets a holder.
+// drop removes a holder's account and its demands.
 func (l *ledger) drop(h api.InstanceID) {
 	if a := l.holders[h]; a != nil {
 		l.sum.Slots -= a.counted.Slots
@@ -149,8 +154,8 @@
 	l.rates.drop(h)
 }
 
-// settle takes in what a holder says of itself.
-func (l *ledger) settle(h api.InstanceID, w Want, now time.Time, t Timing) *account {
+// update applies a holder's report to its account, which it creates if needed.
+func (l *ledger) update(h api.InstanceID, w Want, now time.Time, t Timing) *account {
 	a := l.holders[h]
 	if a == nil {
 		a = &account{}
@@ -160,9 +165,9 @@
 	r := rank(l.customer, h)
 	l.slots.set(demand{h, max(w.Slots, w.InUse), r})
 	l.rates.set(demand{h, w.Rate, r})
-	a.inUse, a.heard = w.InUse, now
+	a.inUse, a.reported = w.InUse, now
 	if w.Remaining <= 0 {
-		a.lapse(w.HeldSeq, now)
+		a.dropExpired(w.HeldSeq, now)
 		return a
 	}
 	a.confirm(w.HeldSeq)
@@ -172,10 +177,11 @@
 	return a
 }
 
-// lapse ends the lingering of leases that the holder has applied and that have
-// expired: what it started under them is in the use that it tells. A lease after
-// seq may have reached the holder when this request was already on its way.
-func (a *account) lapse(seq uint64, now time.Time) {
+// dropExpired drops expired leases up to seq, the last one that the holder has
+// applied, without waiting for Timing.Linger: the requests started under them are
+// included in the reported InUse. Leases after seq are kept, because the holder may
+// have received them after it sent its report.
+func (a *account) dropExpired(seq uint64, now time.Time) {
 	kept := a.leases[:0]
 	for _, o := range a.leases {
 		if o.seq > seq || now.Before(o.expires) {
@@ -185,7 +191,8 @@
 	a.leases = kept
 }
 
-// adopt puts a lease of an earlier grantor before those of this one.
+// adopt inserts a lease that was granted by an earlier owner before the leases of
+// this one.
 func (a *account) adopt(o outstanding) {
 	rest := append([]outstanding(nil), a.leases...)
 	a.leases = append(a.leases[:0], o)
@@ -194,30 +201,31 @@
 	}
 }
 
-// grant gives the holder its part: what is fair, as far as the others leave
-// it. While recovering, nothing beyond what the holder already had: another
-// holder, not heard yet, may have the rest.
+// grant returns the share to grant to the holder: its fair share, as far as the
+// other holders' commitments leave it. While recovering, it returns no more than
+// what the holder already has, because a holder that hasn't reported yet may have
+// the rest.
 func (l *ledger) grant(h api.InstanceID, lim Limit, w Want, recovering bool, now time.Time, t Timing) Share {
 	l.sweep(now, t)
 	a := l.holders[h]
-	mayCome := len(l.holders) < l.entries
+	reserve := len(l.holders) < l.entries
 	free := Share{
 		Slots: lim.Slots - l.sum.Slots + a.counted.Slots,
 		Rate:  lim.Rate - l.sum.Rate + a.counted.Rate,
 	}
 	s := Share{
-		Slots: max(0, min(l.slots.part(lim.Slots, h, mayCome), free.Slots)),
-		Rate:  max(0, min(l.rates.part(lim.Rate, h, mayCome), free.Rate)),
+		Slots: max(0, min(l.slots.fairShare(lim.Slots, h, reserve), free.Slots)),
+		Rate:  max(0, min(l.rates.fairShare(lim.Rate, h, reserve), free.Rate)),
 	}
 	if recovering {
-		s = held(w, free)
+		s = recoveryShare(w, free)
 	}
 	return s
 }
 
-// held gives what the holder has, so that the share is not lost while nobody
-// else may be given it.
-func held(w Want, free Share) Share {
+// recoveryShare returns what the holder has already, as far as it is free. It is
+// renewed so that it isn't left unused while it may be granted to no other holder.
+func recoveryShare(w Want, free Share) Share {
 	if w.Remaining <= 0 {
 		return Share{}
 	}
--- a/core/limit/limit_test.go
+++ b/core/limit/limit_test.go
@@ -14,9 +14,9 @@
 
 const cust = api.CustomerID("sur-sangat")
 
-// leased gives a customer with the whole of its limit leased and a full bucket.
+// leased returns a customer with its whole limit leased and a full bucket.
 func leased(l Limit) *customer {
-	cu := &customer{id: cust, floorEnds: new(atomic.Int64), filled: t0, primed: true, level: float64(l.Rate) * l.saved().Seconds()}
+	cu := &customer{id: cust, floorEnds: new(atomic.Int64), filled: t0, primed: true, level: float64(l.Rate) * l.burstWindow().Seconds()}
 	cu.setLimit(l, floor{})
 	cu.apply(l.share(), 1, t0.Add(time.Minute), t0)
 	return cu
@@ -33,9 +33,9 @@
 		{"within", Limit{Slots: 2, Rate: 1000}, []int64{1000, 1000}, "", 0},
 		{"concurrency", Limit{Slots: 2}, []int64{1, 1, 1}, api.ReasonConcurrencyLimit, minRetry},
 		{"rate", Limit{Rate: 1000}, []int64{1500, 1500}, api.ReasonTokenRateLimit, time.Second},
-		{"more than the bucket holds, once", Limit{Rate: 1000}, []int64{5000}, "", 0},
+		{"more than the bucket holds, when full", Limit{Rate: 1000}, []int64{5000}, "", 0},
 		{"more than the bucket holds is owed", Limit{Rate: 1000}, []int64{5000, 500}, api.ReasonTokenRateLimit, 3500 * time.Millisecond},
-		{"own burst", Limit{Rate: 1000, Burst: 500}, []int64{400, 200}, api.ReasonTokenRateLimit, minRetry},
+		{"configured burst", Limit{Rate: 1000, Burst: 500}, []int64{400, 200}, api.ReasonTokenRateLimit, minRetry},
 		{"no limit", Limit{}, []int64{1 << 40, 1 << 40}, "", 0},
 	}
 	for _, tt := range tests {
@@ -70,8 +70,9 @@
 	c.Assert(cu.inUse.Load(), qt.Equals, int64(0))
 }
 
-// An entry's first request of a customer finds no lease and no floor. It must
-// say so in a way that tells this from a spent limit, and ask for a lease.
+// The first request of a customer at an entry finds no lease and an empty floor. Its
+// refusal must be distinguishable from that of an exhausted limit, and the entry must
+// request a lease.
 func TestFirstRequestAsksForALease(t *testing.T) {
 	c := qt.New(t)
 	limits := map[api.CustomerID]Limit{cust: {Slots: 8, Rate: 1000}}
@@ -115,9 +116,9 @@
 		{"enough for all", 100, []int64{10, 30}, []int64{32, 53}},
 		{"max-min", 100, []int64{10, 200, 300}, []int64{10, 45, 45}},
 		{"remainder is not lost", 10, []int64{9, 9, 9}, []int64{3, 3, 4}},
-		{"fewer than holders", 1, []int64{5, 5, 5}, []int64{0, 0, 1}},
-		{"idle holders get a part of the spare", 40, []int64{0, 0}, []int64{15, 15}},
-		{"lowered below nothing", -3, []int64{5}, []int64{0}},
+		{"fewer units than holders", 1, []int64{5, 5, 5}, []int64{0, 0, 1}},
+		{"idle holders share what is left, less a reserve", 40, []int64{0, 0}, []int64{15, 15}},
+		{"negative total", -3, []int64{5}, []int64{0}},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
@@ -128,7 +129,7 @@
 				ds.set(demand{holder: api.InstanceID(rune('a' + i)), want: w, rank: uint64(i)})
 			}
 			for i, p := range tt.parts {
-				c.Assert(ds.part(tt.total, api.InstanceID(rune('a'+i)), true), qt.Equals, p)
+				c.Assert(ds.fairShare(tt.total, api.InstanceID(rune('a'+i)), true), qt.Equals, p)
 			}
 		})
 	}
--- a/core/limit/protocol_test.go
+++ b/core/limit/protocol_test.go
@@ -10,23 +10,24 @@
 
 var all = Limit{Slots: 40, Rate: 4000}
 
-// pair is one grantor, seen by holders h1 and h2 whose messages are written out.
-type pair struct {
+// grantorTest drives a grantor with handwritten requests of two holders, h1 and h2.
+type grantorTest struct {
 	g   *Grantor
 	now time.Time
 }
 
-func newPair() *pair {
+func newGrantorTest() *grantorTest {
 	limits := map[api.CustomerID]Limit{cust: all}
 	r := Roster{Epoch: 1, Entries: []api.InstanceID{"h1", "h2"}}
-	p := &pair{g: NewGrantor(r.Owner(cust), DefaultTiming), now: t0}
+	p := &grantorTest{g: NewGrantor(r.Owner(cust), DefaultTiming), now: t0}
 	p.g.SetLimits(limits)
 	p.g.SetRoster(r, t0, t0)
 	return p
 }
 
-// ask sends a request of one holder after a while and gives the lease.
-func (p *pair) ask(h api.InstanceID, seq uint64, after time.Duration, w Want) Share {
+// request advances the clock, sends a request of one holder and returns the leased
+// share, or Share{-1, -1} if there is none.
+func (p *grantorTest) request(h api.InstanceID, seq uint64, after time.Duration, w Want) Share {
 	p.now = p.now.Add(after)
 	p.g.SetRoster(p.g.roster, p.now, p.now)
 	w.Customer = cust
@@ -44,7 +45,7 @@
 	nothing = Share{}
 )
 
-// holding is a greedy want of a holder with a lease in force.
+// holding returns a greedy want of a holder with a lease in force.
 func holding(s Share, seq uint64, inUse int64) Want {
 	return Want{Slots: 100, Rate: 10_000, InUse: inUse, Held: s, HeldSeq: seq, Remaining: 8 * time.Second}
 }
@@ -53,48 +54,48 @@
 	t1 := DefaultTiming
 	tests := []struct {
 		name string
-		run  func(c *qt.C, p *pair)
+		run  func(c *qt.C, p *grantorTest)
 	}{
-		{"lowered lease counts until confirmed", func(c *qt.C, p *pair) {
-			c.Assert(p.ask("h2", 2, 0, greedy), qt.Equals, nothing)
-			c.Assert(p.ask("h1", 2, time.Second, holding(whole, 1, 0)), qt.Equals, half)
-			// That grant may be lost: h1 may still use the whole.
-			c.Assert(p.ask("h2", 3, time.Second, greedy), qt.Equals, nothing)
-			p.ask("h1", 3, time.Second, holding(half, 2, 0))
-			c.Assert(p.ask("h2", 4, time.Second, greedy), qt.Equals, half)
+		{"previous lease counts until the lowered one is confirmed", func(c *qt.C, p *grantorTest) {
+			c.Assert(p.request("h2", 2, 0, greedy), qt.Equals, nothing)
+			c.Assert(p.request("h1", 2, time.Second, holding(whole, 1, 0)), qt.Equals, half)
+			// That grant may have been lost: h1 may still use the whole limit.
+			c.Assert(p.request("h2", 3, time.Second, greedy), qt.Equals, nothing)
+			p.request("h1", 3, time.Second, holding(half, 2, 0))
+			c.Assert(p.request("h2", 4, time.Second, greedy), qt.Equals, half)
 		}},
-		{"requests under way count though the lease is lowered", func(c *qt.C, p *pair) {
-			p.ask("h2", 2, 0, greedy)
-			p.ask("h1", 2, time.Second, holding(whole, 1, 30))
-			p.ask("h1", 3, time.Second, holding(half, 2, 30))
-			c.Assert(p.ask("h2", 3, time.Second, greedy), qt.Equals, Share{10, 2000})
+		{"requests in progress count after the lease is lowered", func(c *qt.C, p *grantorTest) {
+			p.request("h2", 2, 0, greedy)
+			p.request("h1", 2, time.Second, holding(whole, 1, 30))
+			p.request("h1", 3, time.Second, holding(half, 2, 30))
+			c.Assert(p.request("h2", 3, time.Second, greedy), qt.Equals, Share{10, 2000})
 		}},
-		{"silent holder: its rate ends with the lease, its slots linger", func(c *qt.C, p *pair) {
-			c.Assert(p.ask("h2", 2, t1.TTL, greedy), qt.Equals, nothing)
-			c.Assert(p.ask("h2", 3, t1.Margin, greedy), qt.Equals, Share{0, 2000})
-			p.ask("h2", 4, t1.Linger-time.Second, greedy)
-			c.Assert(p.ask("h2", 5, time.Second, greedy).Slots, qt.Equals, int64(20))
+		{"silent holder: its rate is free when the lease expires, its slots after Linger", func(c *qt.C, p *grantorTest) {
+			c.Assert(p.request("h2", 2, t1.TTL, greedy), qt.Equals, nothing)
+			c.Assert(p.request("h2", 3, t1.Margin, greedy), qt.Equals, Share{0, 2000})
+			p.request("h2", 4, t1.Linger-time.Second, greedy)
+			c.Assert(p.request("h2", 5, time.Second, greedy).Slots, qt.Equals, int64(20))
 		}},
-		{"request that overtook a grant keeps the grant counted", func(c *qt.C, p *pair) {
-			// h1 sent its request 2 before grant 1 reached it, and started 40.
-			p.ask("h1", 2, t1.TTL+t1.Margin, Want{})
-			c.Assert(p.ask("h2", 2, time.Second, greedy).Slots, qt.Equals, int64(0))
+		{"request sent before a grant arrived: the grant still counts", func(c *qt.C, p *grantorTest) {
+			// h1 sent request 2 before grant 1 reached it, and then started 40 requests.
+			p.request("h1", 2, t1.TTL+t1.Margin, Want{})
+			c.Assert(p.request("h2", 2, time.Second, greedy).Slots, qt.Equals, int64(0))
 		}},
-		{"late and repeated requests are dropped", func(c *qt.C, p *pair) {
-			c.Assert(p.ask("h1", 1, time.Second, Want{}), qt.Equals, Share{-1, -1})
-			c.Assert(p.ask("h2", 2, 0, greedy), qt.Equals, nothing)
+		{"late and repeated requests are dropped", func(c *qt.C, p *grantorTest) {
+			c.Assert(p.request("h1", 1, time.Second, Want{}), qt.Equals, Share{-1, -1})
+			c.Assert(p.request("h2", 2, 0, greedy), qt.Equals, nothing)
 		}},
-		{"restarted holder frees what it held", func(c *qt.C, p *pair) {
+		{"restart of a holder frees what it held", func(c *qt.C, p *grantorTest) {
 			_, ok := p.g.Step(Request{Epoch: 1, Holder: "h1", Incarnation: 2, Seq: 1}, p.now)
 			c.Assert(ok, qt.IsTrue)
-			c.Assert(p.ask("h2", 2, 0, greedy), qt.Equals, whole)
+			c.Assert(p.request("h2", 2, 0, greedy), qt.Equals, whole)
 		}},
-		{"roster missed: another may have granted meanwhile", func(c *qt.C, p *pair) {
+		{"missed roster: another entry may have granted under it", func(c *qt.C, p *grantorTest) {
 			p.g.Step(Request{Epoch: 1, Holder: "h1", Incarnation: 1, Seq: 2}, p.now)
 			p.g.SetRoster(Roster{Epoch: 3, Entries: p.g.roster.Entries}, p.now, p.now)
-			c.Assert(p.ask("h2", 2, time.Second, greedy), qt.Equals, nothing)
+			c.Assert(p.request("h2", 2, time.Second, greedy), qt.Equals, nothing)
 		}},
-		{"without authority nothing is granted", func(c *qt.C, p *pair) {
+		{"nothing is granted after the authority has expired", func(c *qt.C, p *grantorTest) {
 			_, ok := p.g.Step(Request{Epoch: 1, Holder: "h1", Incarnation: 1, Seq: 2}, p.now.Add(t1.TTL))
 			c.Assert(ok, qt.IsFalse)
 		}},
@@ -102,20 +103,21 @@
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
 			c := qt.New(t)
-			p := newPair()
-			// Both are known to hold nothing; then h1 takes the whole.
+			p := newGrantorTest()
+			// The grantor learns that both hold nothing, then h1 gets the whole limit.
 			p.g.Step(Request{Epoch: 1, Holder: "h2", Incarnation: 1, Seq: 1}, p.now)
-			c.Assert(p.ask("h1", 1, 0, greedy), qt.Equals, whole)
+			c.Assert(p.request("h1", 1, 0, greedy), qt.Equals, whole)
 			tt.run(c, p)
 		})
 	}
 }
 
-// An owner is lost and the next one knows nothing. Holders go on with what they
-// have; nobody gets more before all have told, or the lost one's leases are over.
+// An owner fails and the next one knows no leases. Holders must be able to renew what
+// they have, and none may get more until all entries have reported or all leases of
+// the failed owner have expired.
 func TestNewOwnerRecovers(t *testing.T) {
 	c := qt.New(t)
-	p := newPair()
+	p := newGrantorTest()
 	first := p.g.roster
 	next := Roster{Epoch: 2, Entries: []api.InstanceID{"h1", "h2"}}
 	p.g = NewGrantor(next.Owner(cust), DefaultTiming)
@@ -124,22 +126,22 @@
 	p.g.SetRoster(first, p.now, p.now)
 	p.g.SetRoster(next, p.now, p.now)
 	have := Share{25, 2500}
-	c.Assert(p.ask("h1", 1, 0, holding(have, 0, 0)), qt.Equals, have)
-	c.Assert(p.ask("h2", 1, 0, greedy), qt.Equals, nothing)
-	p.ask("h1", 2, DefaultTiming.recovery()-time.Second, holding(have, 1, 0))
-	c.Assert(p.ask("h2", 2, time.Second, greedy), qt.Equals, Share{15, 1500})
+	c.Assert(p.request("h1", 1, 0, holding(have, 0, 0)), qt.Equals, have)
+	c.Assert(p.request("h2", 1, 0, greedy), qt.Equals, nothing)
+	p.request("h1", 2, DefaultTiming.recovery()-time.Second, holding(have, 1, 0))
+	c.Assert(p.request("h2", 2, time.Second, greedy), qt.Equals, Share{15, 1500})
 }
 
-// A new owner that has heard all need not wait, but the lease of the owner before
-// counts until its holder has confirmed a lower one.
+// A new owner to which all entries have reported need not wait, but a lease granted by
+// the previous owner counts until its holder has confirmed a lower one.
 func TestNewOwnerCountsLeasesOfTheLast(t *testing.T) {
 	c := qt.New(t)
-	p := newPair()
-	p.ask("h2", 1, 0, greedy)
-	c.Assert(p.ask("h1", 7, 0, holding(whole, 6, 0)), qt.Equals, half)
-	c.Assert(p.ask("h2", 2, time.Second, greedy), qt.Equals, nothing)
-	p.ask("h1", 8, time.Second, holding(half, 7, 0))
-	c.Assert(p.ask("h2", 3, time.Second, greedy), qt.Equals, half)
+	p := newGrantorTest()
+	p.request("h2", 1, 0, greedy)
+	c.Assert(p.request("h1", 7, 0, holding(whole, 6, 0)), qt.Equals, half)
+	c.Assert(p.request("h2", 2, time.Second, greedy), qt.Equals, nothing)
+	p.request("h1", 8, time.Second, holding(half, 7, 0))
+	c.Assert(p.request("h2", 3, time.Second, greedy), qt.Equals, half)
 }
 
 func TestHolderTakesOnlyTheLatestGrant(t *testing.T) {
@@ -148,16 +150,16 @@
 		change func(h *Holder, g *Grant) time.Duration
 		held   int64
 	}{
-		{"in time", func(*Holder, *Grant) time.Duration { return time.Second }, 40},
-		{"counted from the request", func(*Holder, *Grant) time.Duration { return DefaultTiming.TTL }, 0},
+		{"arrives in time", func(*Holder, *Grant) time.Duration { return time.Second }, 40},
+		{"expires counted from the request", func(*Holder, *Grant) time.Duration { return DefaultTiming.TTL }, 0},
 		{"earlier epoch", func(h *Holder, _ *Grant) time.Duration {
 			h.SetRoster(Roster{Epoch: 2, Entries: []api.InstanceID{"h1", "h2"}}, t0, t0)
 			return 0
 		}, 0},
 		{"earlier incarnation", func(_ *Holder, g *Grant) time.Duration { g.Incarnation--; return 0 }, 0},
-		{"of another", func(_ *Holder, g *Grant) time.Duration { g.Holder = "h2"; return 0 }, 0},
-		{"never asked for", func(_ *Holder, g *Grant) time.Duration { g.Seq += 5; return 0 }, 0},
-		{"after nothing was wanted", func(h *Holder, _ *Grant) time.Duration {
+		{"for another holder", func(_ *Holder, g *Grant) time.Duration { g.Holder = "h2"; return 0 }, 0},
+		{"for a request never sent", func(_ *Holder, g *Grant) time.Duration { g.Seq += 5; return 0 }, 0},
+		{"after a request that listed nothing", func(h *Holder, _ *Grant) time.Duration {
 			h.Tick(t0.Add(9 * time.Second))
 			return 9 * time.Second
 		}, 0},
--- a/core/limit/roster.go
+++ b/core/limit/roster.go
@@ -7,20 +7,21 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// slackDivisor sets the slack: a tenth of the limit may be used by entries
-// without a lease.
+// slackDivisor sets the slack: a tenth of a limit may be used by entries that
+// hold no lease.
 const slackDivisor = 10
 
-// Slack gives how far the use of a customer may pass its limit: the sum of the
-// floors of all entries.
+// Slack returns by how much a customer's use may exceed its limit: the sum of
+// the floors of all entries.
 func Slack(l Limit) Share {
 	return Share{Slots: ceilDiv(l.Slots, slackDivisor), Rate: ceilDiv(l.Rate, slackDivisor)}
 }
 
 func ceilDiv(n, by int64) int64 { return (n + by - 1) / by }
 
-// rank orders entries for a customer (rendezvous hashing): all entries with
-// the same roster agree, and a change of roster moves few customers.
+// rank returns the rank of an entry for a customer, by rendezvous hashing: all
+// entries with the same roster agree on the order, and a change of the roster
+// moves few customers to another owner.
 func rank(c api.CustomerID, e api.InstanceID) uint64 {
 	var d xxhash.Digest
 	d.Reset()
@@ -30,8 +31,8 @@
 	return d.Sum64()
 }
 
-// Owner gives the entry whose Grantor hands out the customer's shares; empty
-// for an empty roster.
+// Owner returns the entry whose Grantor grants shares of the customer's limit;
+// empty for an empty roster.
 func (r Roster) Owner(c api.CustomerID) api.InstanceID {
 	var best api.InstanceID
 	var top uint64
@@ -43,9 +44,9 @@
 	return best
 }
 
-// floor gives what an entry may use without a lease. The floors of all entries
-// of a roster add up to Slack: what can't be divided goes to the entries that
-// rank first.
+// floor returns what an entry may use without a lease. The floors of all entries
+// of a roster add up to Slack; the remainder of the division goes to the entries
+// with the highest ranks, one unit each.
 func (r Roster) floor(c api.CustomerID, self api.InstanceID, l Limit) Share {
 	n := int64(len(r.Entries))
 	if !slices.Contains(r.Entries, self) {
@@ -59,11 +60,12 @@
 		}
 	}
 	s := Slack(l)
-	return Share{Slots: part(s.Slots, n, before), Rate: part(s.Rate, n, before)}
+	return Share{Slots: rankedPart(s.Slots, n, before), Rate: rankedPart(s.Rate, n, before)}
 }
 
-// part divides total among n; the first total mod n get one more.
-func part(total, n, before int64) int64 {
+// rankedPart returns the part of total for one of n entries, of which before rank
+// higher. The first total%n entries get one unit more than the others.
+func rankedPart(total, n, before int64) int64 {
 	p := total / n
 	if before < total%n {
 		p++
--- a/core/limit/types.go
+++ b/core/limit/types.go
@@ -1,11 +1,12 @@
-// Package limit holds each customer to its concurrency and its token rate over
-// all entries, without a hop to a central place on a request's path.
+// Package limit enforces each customer's concurrency limit and token rate across
+// all entries, without a call to a central service on the request path.
 //
-// Each entry runs a Holder, which answers requests from the share that it
-// holds, and a Grantor, which hands out the shares of the customers that it
-// owns. A share is a lease. docs/design/limits.md gives the ways weighed and
-// the bound. Nothing here sends or waits: the caller carries Requests and
-// Grants between entries, which may lose, repeat, delay or reorder them.
+// Each entry runs a Holder, which admits requests from the shares that it holds,
+// and a Grantor, which grants shares of the limits of the customers that its
+// entry owns. A share is granted as a lease. docs/design/limits.md compares the
+// alternatives and derives the bound. The package does no I/O and never blocks:
+// the caller carries Requests and Grants between entries over a network that may
+// lose, duplicate, delay or reorder them.
 package limit
 
 import (
@@ -15,71 +16,74 @@
 	"almondseam.dev/core/api"
 )
 
-// Limit is what a customer may use over all entries. Zero in a field means
-// that it isn't limited.
+// Limit is what a customer may use across all entries. A zero Slots or Rate
+// means that it isn't limited.
 type Limit struct {
-	// Slots is the number of requests under way at a time.
+	// Slots is the number of concurrent requests.
 	Slots int64
-	// Rate is in tokens a second, prompt and output together.
+	// Rate is in tokens per second, prompt and output together.
 	Rate int64
-	// Burst is the number of tokens that may be used at once after a quiet
-	// time; zero means what Rate gives in two seconds.
+	// Burst is the number of tokens that may be used at once after an idle
+	// period; zero means what accrues at Rate in two seconds.
 	Burst int64
 }
 
-// saved is the time over which unused rate is kept.
-func (l Limit) saved() time.Duration {
+// burstWindow returns the time over which unused rate accumulates.
+func (l Limit) burstWindow() time.Duration {
 	if l.Burst == 0 || l.Rate == 0 {
-		return defaultSaved
+		return defaultBurstWindow
 	}
 	return time.Duration(float64(l.Burst) / float64(l.Rate) * float64(time.Second))
 }
 
-// share is the whole of the limit.
+// share returns the whole limit as a share.
 func (l Limit) share() Share { return Share{Slots: l.Slots, Rate: l.Rate} }
 
-// Roster lists the entries that share the limits. The control group agrees on
-// it; Epoch grows by one with each change.
+// Roster lists the entries that share the limits. The control group decides it;
+// Epoch increases by one with each change.
 type Roster struct {
 	Epoch   uint64
 	Entries []api.InstanceID
-	// Age is how long the control group has had this roster in force, at the
-	// least; zero is always safe.
+	// Age is a lower bound of the time for which this roster has been in force
+	// at the control group; zero is always safe.
 	Age time.Duration
 }
 
-// Timing sets the leases; every entry must have the same values.
+// Timing holds the durations of the lease protocol. Every entry must use the
+// same values.
 type Timing struct {
-	// TTL is how long a lease is in force, counted by its holder from when it
-	// sent the request.
+	// TTL is how long a lease is in force. Its holder counts it from when it
+	// sent the request that the lease answers.
 	TTL time.Duration
-	// Renew is the time between requests.
+	// Renew is the time between a holder's requests to a grantor.
 	Renew time.Duration
-	// Margin covers the drift of two clocks over TTL.
+	// Margin covers the drift between two clocks over TTL.
 	Margin time.Duration
-	// Linger is how long after a silent holder's lease its slots stay taken:
-	// requests that it started go on. A request that runs longer on an entry
-	// that is cut off is beyond the bound.
+	// Linger is how long the slots of a holder that no longer renews stay committed
+	// after its lease has expired, because customer requests that it started may
+	// still run. A request that runs longer than that on a partitioned entry isn't
+	// covered by the bound.
 	Linger time.Duration
-	// Floor is how long an entry that has lost touch with the control group may
-	// go on with its floor.
+	// Floor is how long an entry without contact to the control group may go on
+	// using its floor, the part of a limit that needs no lease.
 	Floor time.Duration
 }
 
-// recovery is how long the leases of a roster may outlast it: an owner that has
-// not heard of the change grants for TTL, its last lease runs for another, and
-// what was started under that lingers.
+// recovery returns how long leases granted under a roster may have an effect
+// after the roster was replaced: an owner that doesn't know of the change goes on
+// granting for TTL, its last lease is in force for another TTL, and requests
+// started under that lease run for up to Linger.
 func (t Timing) recovery() time.Duration {
 	return 2*(t.TTL+t.Margin) + t.Linger
 }
 
-// floorMargin covers the drift of two clocks over Floor, at the rate for which
-// Margin covers it over TTL.
+// floorMargin returns the allowance for the drift between two clocks over Floor,
+// at the drift rate that Margin allows for over TTL.
 func (t Timing) floorMargin() time.Duration {
 	return time.Duration(float64(t.Margin) * float64(t.Floor) / float64(t.TTL))
 }
 
-// DefaultTiming is what an entry uses unless its settings differ.
+// DefaultTiming is used by an entry whose settings give no other timing.
 var DefaultTiming = Timing{
 	TTL:    10 * time.Second,
 	Renew:  2 * time.Second,
@@ -88,29 +92,31 @@
 	Floor:  10 * time.Minute,
 }
 
-// Request tells a grantor what a holder has and wants: one message for all
-// customers that the grantor owns. A customer that isn't listed is neither
-// held nor used by the holder.
+// Request reports to a grantor what a holder has and wants, in one message for
+// all customers that the grantor owns. For a customer that isn't listed the
+// holder has no lease and no request in progress.
 type Request struct {
 	Epoch  uint64
 	Holder api.InstanceID
-	// Incarnation grows with each start of the holder.
+	// Incarnation increases with each start of the holder.
 	Incarnation api.Incarnation
-	// Seq grows with each request of an incarnation, to whichever grantor.
+	// Seq increases with each round of requests of an incarnation; requests to
+	// different grantors in one round share it.
 	Seq   uint64
 	Wants []Want
 }
 
-// Want is the state of one customer at a holder.
+// Want is the state of one customer at a holder, with its demand.
 type Want struct {
 	Customer api.CustomerID
-	// Slots and Rate are what the holder could use.
+	// Slots and Rate are the holder's demand.
 	Slots int64
 	Rate  int64
-	// InUse is the number of requests under way.
+	// InUse is the number of requests in progress.
 	InUse int64
-	// Held is the lease applied last and HeldSeq its number; it is in force for
-	// Remaining, if that is above zero.
+	// Held is the share of the lease that the holder applied last, and HeldSeq
+	// the Seq of the request that it answered. The lease is in force for
+	// Remaining; it has expired if Remaining is zero.
 	Held      Share
 	HeldSeq   uint64
 	Remaining time.Duration
@@ -128,18 +134,18 @@
 	Grantor     api.InstanceID
 	Holder      api.InstanceID
 	Incarnation api.Incarnation
-	// Seq is that of the request.
+	// Seq is the Seq of the answered request.
 	Seq    uint64
 	TTL    time.Duration
 	Leases []Lease
 }
 
-// Lease is the share of one customer, in force for the grant's TTL.
+// Lease is a share of one customer's limit, in force for the grant's TTL.
 type Lease struct {
 	Customer api.CustomerID
 	Share
 }
 
-// ErrNoLease is the cause of a refusal by an entry that holds no lease of the
-// customer: a request for one is due, and the caller may wait for its answer.
+// ErrNoLease is the cause of a refusal by an entry that holds no lease for the
+// customer. A request for a lease is due, and the caller may wait for the grant.
 var ErrNoLease = errors.New("no lease of this customer's limit here")
