--- a/core/limit/cap.go
+++ b/core/limit/cap.go
@@ -27,8 +27,8 @@
 // Set changes the limit. Units already taken beyond a lowered limit stay taken.
 func (c *Cap) Set(limit int64) { c.limit.Store(limit) }
 
-// Take takes n units, or returns a refusal if that would exceed the limit.
-func (c *Cap) Take(n int64) *api.Error {
+// Acquire takes n units, or returns a refusal if that would exceed the limit.
+func (c *Cap) Acquire(n int64) *api.Error {
 	if c.used.Add(n) <= c.limit.Load() {
 		return nil
 	}
@@ -38,8 +38,8 @@
 	return e
 }
 
-// Give returns n units that Take has taken.
-func (c *Cap) Give(n int64) { c.used.Add(-n) }
+// Release returns n units that Acquire has taken.
+func (c *Cap) Release(n int64) { c.used.Add(-n) }
 
 // Used returns the number of units taken.
 func (c *Cap) Used() int64 { return c.used.Load() }
--- a/core/limit/limit_test.go
+++ b/core/limit/limit_test.go
@@ -138,11 +138,11 @@
 func TestCap(t *testing.T) {
 	c := qt.New(t)
 	bytes := NewCap(100, api.ReasonConnectionLimit, time.Second)
-	c.Assert(bytes.Take(60) == nil, qt.IsTrue)
-	err := bytes.Take(60)
+	c.Assert(bytes.Acquire(60) == nil, qt.IsTrue)
+	err := bytes.Acquire(60)
 	c.Assert(err.Reason, qt.Equals, api.ReasonConnectionLimit)
 	c.Assert(err.RetryAfter, qt.Equals, time.Second)
-	bytes.Give(60)
-	c.Assert(bytes.Take(100) == nil, qt.IsTrue)
+	bytes.Release(60)
+	c.Assert(bytes.Acquire(100) == nil, qt.IsTrue)
 	c.Assert(bytes.Used(), qt.Equals, int64(100))
 }
--- a/node/callers/connections.go
+++ b/node/callers/connections.go
@@ -50,11 +50,11 @@
 		if conf := l.live.Load(); conf != nil {
 			l.taken.Set(int64(conf.Limits().MaxConnections))
 		}
-		over := l.taken.Take(1)
+		over := l.taken.Acquire(1)
 		if over == nil {
 			return &connection{Conn: c, of: l.taken}, nil
 		}
-		if l.spare.Take(1) == nil {
+		if l.spare.Acquire(1) == nil {
 			return &connection{Conn: c, of: l.spare, over: over}, nil
 		}
 		l.obs.Refused("", over.Reason)
@@ -73,7 +73,7 @@
 // Close implements net.Conn.
 func (c *connection) Close() error {
 	err := c.Conn.Close()
-	c.once.Do(func() { c.of.Give(1) })
+	c.once.Do(func() { c.of.Release(1) })
 	return err
 }
 
