--- a/core/retrybudget/fleet_test.go
+++ b/core/retrybudget/fleet_test.go
@@ -41,7 +41,7 @@
 }
 
 type fleetEntry struct {
-	own   *Own
+	own   *LocalBudget
 	drift float64
 	// load is how many requests it gets a second, need how many retries.
 	load, need float64
@@ -76,7 +76,7 @@
 }
 
 func (f *fleet) restart(e *fleetEntry) {
-	e.own, e.asked = NewOwn(f.limits, e.clock(f.now)), make(map[string]time.Time)
+	e.own, e.asked = NewLocalBudget(f.limits, e.clock(f.now)), make(map[string]time.Time)
 }
 
 // lead gives the group another leader, restored from a snapshot. Its clock goes on from
--- a/core/retrybudget/own.go
+++ b/core/retrybudget/own.go
@@ -15,10 +15,10 @@
 	bucketCount = bucketsPerWindow + 1
 )
 
-// Own is an entry's own part of the budget of one service: a ring of buckets over a
+// LocalBudget is an entry's own part of the budget of one service: a ring of buckets over a
 // window. It needs no message, so that it also serves an entry that reaches no control
 // member.
-type Own struct {
+type LocalBudget struct {
 	limits  Limits
 	started time.Time
 	buckets [bucketCount]bucket
@@ -31,9 +31,9 @@
 	retries int
 }
 
-// NewOwn makes a budget without requests.
-func NewOwn(l Limits, now time.Time) *Own {
-	o := &Own{limits: l, started: now}
+// NewLocalBudget makes a budget without requests.
+func NewLocalBudget(l Limits, now time.Time) *LocalBudget {
+	o := &LocalBudget{limits: l, started: now}
 	for i := range o.buckets {
 		o.buckets[i].number = -1
 	}
@@ -42,11 +42,11 @@
 
 // number gives the bucket of a time by the steady clock: the time of day may jump back,
 // and what was spent since would be forgotten.
-func (o *Own) number(now time.Time) int64 {
+func (o *LocalBudget) number(now time.Time) int64 {
 	return int64(now.Sub(o.started) / (o.limits.Window / bucketsPerWindow))
 }
 
-func (o *Own) at(now time.Time) *bucket {
+func (o *LocalBudget) at(now time.Time) *bucket {
 	n := o.number(now)
 	at := &o.buckets[n%bucketCount]
 	if at.number != n {
@@ -56,7 +56,7 @@
 }
 
 // First counts a request's first send.
-func (o *Own) First(now time.Time) { o.at(now).firsts++ }
+func (o *LocalBudget) First(now time.Time) { o.at(now).firsts++ }
 
 // Verdict tells whether a retry was allowed, and by which figures.
 type Verdict struct {
@@ -68,7 +68,7 @@
 }
 
 // Take takes one retry if the entry's own requests pay for it.
-func (o *Own) Take(now time.Time) Verdict {
+func (o *LocalBudget) Take(now time.Time) Verdict {
 	at := o.at(now)
 	firsts, retries := 0, 0
 	for i := range o.buckets {
@@ -91,7 +91,7 @@
 }
 
 // GiveBack returns a retry, taken at a time, that was not sent.
-func (o *Own) GiveBack(taken time.Time) {
+func (o *LocalBudget) GiveBack(taken time.Time) {
 	n := o.number(taken)
 	if at := &o.buckets[n%bucketCount]; at.number == n && at.retries > 0 {
 		at.retries--
--- a/core/retrybudget/own_test.go
+++ b/core/retrybudget/own_test.go
@@ -24,7 +24,7 @@
 func TestOwnPartStaysUnderTheRatioInAnyWindow(t *testing.T) {
 	c := qt.New(t)
 	limits := Limits{Ratio: 0.2, Window: 10 * time.Second}
-	o := NewOwn(limits, t0)
+	o := NewLocalBudget(limits, t0)
 	var firsts, retries []time.Time
 	for i := range 3000 {
 		now := t0.Add(time.Duration(i) * 20 * time.Millisecond)
@@ -47,7 +47,7 @@
 // A retry that was taken and could not be sent counts no more.
 func TestOwnRetryIsGivenBack(t *testing.T) {
 	c := qt.New(t)
-	o := NewOwn(Limits{Ratio: 0.2, Window: 10 * time.Second}, t0)
+	o := NewLocalBudget(Limits{Ratio: 0.2, Window: 10 * time.Second}, t0)
 	for range 10 {
 		o.First(t0)
 	}
@@ -62,7 +62,7 @@
 // Requests pay for retries of one window only.
 func TestOldRequestsPayForNothing(t *testing.T) {
 	c := qt.New(t)
-	o := NewOwn(Limits{Ratio: 1, Window: 10 * time.Second}, t0)
+	o := NewLocalBudget(Limits{Ratio: 1, Window: 10 * time.Second}, t0)
 	for range 10 {
 		o.First(t0)
 	}
@@ -74,7 +74,7 @@
 // is still in the window.
 func TestRetriesOfAWholeWindowAreCounted(t *testing.T) {
 	c := qt.New(t)
-	o := NewOwn(Limits{Ratio: 1, Window: 10 * time.Second}, t0)
+	o := NewLocalBudget(Limits{Ratio: 1, Window: 10 * time.Second}, t0)
 	early, late := t0.Add(450*time.Millisecond), t0.Add(10*time.Second)
 	for _, at := range []time.Time{early, late} {
 		o.First(at)
--- a/core/retrybudget/pace_test.go
+++ b/core/retrybudget/pace_test.go
@@ -58,7 +58,7 @@
 		}
 		c.Assert(a.RetryAfter > 0, qt.IsTrue)
 		now += a.RetryAfter.Milliseconds() + 1
-		c.Assert(p.Free(now, limited("free", 2.3)).Granted, qt.IsTrue)
+		c.Assert(p.Check(now, limited("free", 2.3)).Granted, qt.IsTrue)
 	}
 	seconds := (time.Duration(now) * time.Millisecond).Seconds()
 	c.Assert(float64(granted) >= 2.2*seconds, qt.IsTrue, qt.Commentf("%d in %.1f s", granted, seconds))
--- a/core/retrybudget/pool.go
+++ b/core/retrybudget/pool.go
@@ -117,8 +117,8 @@
 	return a.Limits.Slack
 }
 
-// Free tells whether the pool would grant an ask now.
-func (p *Pool) Free(now int64, a Ask) Answer {
+// Check tells whether the pool would grant an ask now.
+func (p *Pool) Check(now int64, a Ask) Answer {
 	account := p.accounts[a.key()]
 	if a.paced() {
 		return account.pace(now, a)
@@ -137,7 +137,7 @@
 }
 
 func (p *Pool) grant(account *Account, now int64, a Ask) Answer {
-	answer := p.Free(now, a)
+	answer := p.Check(now, a)
 	if !answer.Granted {
 		return answer
 	}
--- a/node/control/retries.go
+++ b/node/control/retries.go
@@ -26,7 +26,7 @@
 	if ask == nil || ask.Return || m.role != consensus.RoleLeader {
 		return false
 	}
-	answer := m.state.Retries().Free(m.clock.at(time.Now()), *ask)
+	answer := m.state.Retries().Check(m.clock.at(time.Now()), *ask)
 	if answer.Granted {
 		return false
 	}
--- a/node/relay/retries.go
+++ b/node/relay/retries.go
@@ -91,7 +91,7 @@
 	returns conc.WaitGroup
 
 	mu      sync.Mutex
-	own     map[api.ServiceID]*retrybudget.Own
+	own     map[api.ServiceID]*retrybudget.LocalBudget
 	refused map[refusalKey]refusal
 }
 
@@ -99,7 +99,7 @@
 func NewRetries(l retrybudget.Limits, g Grantor) *Retries {
 	return &Retries{
 		limits: l, grantor: g, run: strconv.FormatUint(rand.Uint64(), 36),
-		own: make(map[api.ServiceID]*retrybudget.Own), refused: make(map[refusalKey]refusal),
+		own: make(map[api.ServiceID]*retrybudget.LocalBudget), refused: make(map[refusalKey]refusal),
 	}
 }
 
@@ -208,10 +208,10 @@
 // Wait returns once all returns have ended. No retry is given back any more.
 func (r *Retries) Wait() { r.returns.Wait() }
 
-func (r *Retries) ownOf(s api.ServiceID, now time.Time) *retrybudget.Own {
+func (r *Retries) ownOf(s api.ServiceID, now time.Time) *retrybudget.LocalBudget {
 	o := r.own[s]
 	if o == nil {
-		o = retrybudget.NewOwn(r.limits, now)
+		o = retrybudget.NewLocalBudget(r.limits, now)
 		r.own[s] = o
 	}
 	return o
