--- a/core/retrybudget/fleet_test.go
+++ b/core/retrybudget/fleet_test.go
@@ -11,47 +11,52 @@
 	qt "github.com/frankban/quicktest"
 )
 
-// fleet runs entries and a replicated pool in virtual time: messages are lost, copied
-// and late, leaders change and are restored from snapshots, entries restart, and no two
-// clocks run alike.
+// fleet simulates entries and a replicated pool in virtual time: messages are lost,
+// duplicated and delayed, the leader changes and is restored from a snapshot, entries restart,
+// and every clock runs at a rate of its own.
 type fleet struct {
 	rng    *rand.Rand
 	now    time.Time
 	limits Limits
-	// cold makes all sends go to one cold target, and none be paid by an entry's own part.
+	// cold directs all requests to one cold target, and takes none from a LocalBudget.
 	cold bool
-	// lossy and late are the parts of messages that are lost, and that take up to five
-	// seconds.
-	lossy, late float64
+	// lossRate and lateRate are the fractions of messages that are lost, and that are delayed
+	// by up to five seconds.
+	lossRate, lateRate float64
 
-	entries []*fleetEntry
-	mail    []fleetMail
-	asks    int
+	entries  []*fleetEntry
+	inFlight []fleetMessage
+	asks     int
 
-	// The group: its state, and its leader's clock.
-	pool       *Pool
-	replicated int64
-	base       int64
-	leads      time.Time
-	rate       float64
-	leaderless time.Time
+	// The control group. Its leader's clock runs at clockRate since leaderSince, starting from
+	// the replicated time leaderBase. Asks before leaderlessUntil get no answer.
+	pool            *Pool
+	replicated      int64
+	leaderBase      int64
+	leaderSince     time.Time
+	clockRate       float64
+	leaderlessUntil time.Time
 
-	firsts, arrivals []time.Time
-	granted          int
+	// requests holds when entries got requests, arrivals when retries, or requests to the cold
+	// target, reached their target.
+	requests, arrivals []time.Time
+	granted            int
 }
 
 type fleetEntry struct {
 	own   *LocalBudget
 	drift float64
-	// load is how many requests it gets a second, need how many retries.
-	load, need float64
-	// asked are the times, by its own clock, of asks that wait for an answer.
-	asked map[string]time.Time
-	// cut entries reach no control member.
-	cut bool
+	// requestRate and retryRate are the requests that the entry gets and the retries that it
+	// needs, per second.
+	requestRate, retryRate float64
+	// askedAt holds when, by the entry's own clock, each ask without an answer was sent.
+	askedAt map[string]time.Time
+	// partitioned entries reach no control group member.
+	partitioned bool
 }
 
-type fleetMail struct {
+// fleetMessage is a message in flight between an entry and the group: an ask or an answer.
+type fleetMessage struct {
 	at     time.Time
 	entry  *fleetEntry
 	ask    *Ask
@@ -59,14 +64,14 @@
 	id     string
 }
 
-// clock is an entry's own, at most half a hundredth off.
+// clock returns the time by the entry's own clock, which runs up to 0.5% fast or slow.
 func (e *fleetEntry) clock(now time.Time) time.Time {
 	return now.Add(time.Duration(e.drift * float64(now.Sub(t0))))
 }
 
 func newFleet(seed uint64, entries int, l Limits) *fleet {
-	f := &fleet{rng: rand.New(rand.NewPCG(seed, 11)), now: t0, limits: l, pool: NewPool(), rate: 1, leads: t0}
-	f.lossy, f.late = 0.3*f.rng.Float64(), 0.3*f.rng.Float64()
+	f := &fleet{rng: rand.New(rand.NewPCG(seed, 11)), now: t0, limits: l, pool: NewPool(), clockRate: 1, leaderSince: t0}
+	f.lossRate, f.lateRate = 0.3*f.rng.Float64(), 0.3*f.rng.Float64()
 	for range entries {
 		e := &fleetEntry{drift: (f.rng.Float64() - 0.5) * driftShare}
 		f.entries = append(f.entries, e)
@@ -75,40 +80,43 @@
 	return f
 }
 
+// restart starts or restarts an entry, which then has counted nothing and awaits no answer.
 func (f *fleet) restart(e *fleetEntry) {
-	e.own, e.asked = NewLocalBudget(f.limits, e.clock(f.now)), make(map[string]time.Time)
+	e.own, e.askedAt = NewLocalBudget(f.limits, e.clock(f.now)), make(map[string]time.Time)
 }
 
-// lead gives the group another leader, restored from a snapshot. Its clock goes on from
-// the state's own.
-func (f *fleet) lead() {
-	f.leaderless = f.now.Add(time.Duration(f.rng.Int64N(int64(2 * time.Second))))
+// changeLeader replaces the leader by one restored from a snapshot. Its clock continues from
+// the replicated time.
+func (f *fleet) changeLeader() {
+	f.leaderlessUntil = f.now.Add(time.Duration(f.rng.Int64N(int64(2 * time.Second))))
 	f.pool = RestorePool(f.pool.Snapshot())
-	f.base, f.leads = f.replicated, f.now
-	f.rate = 1 + (f.rng.Float64()-0.5)*driftShare
+	f.leaderBase, f.leaderSince = f.replicated, f.now
+	f.clockRate = 1 + (f.rng.Float64()-0.5)*driftShare
 }
 
-func (f *fleet) post(m fleetMail) {
-	if f.rng.Float64() < f.lossy || m.entry.cut {
+// send puts a message in flight, unless it is lost.
+func (f *fleet) send(m fleetMessage) {
+	if f.rng.Float64() < f.lossRate || m.entry.partitioned {
 		return
 	}
 	for range 1 + f.rng.IntN(10)/9 {
 		delay := time.Duration(f.rng.Int64N(int64(20 * time.Millisecond)))
-		if f.rng.Float64() < f.late {
+		if f.rng.Float64() < f.lateRate {
 			delay = time.Duration(f.rng.Int64N(int64(5 * time.Second)))
 		}
 		m.at = f.now.Add(delay)
-		f.mail = append(f.mail, m)
+		f.inFlight = append(f.inFlight, m)
 	}
 }
 
+// step advances the time, delivers due messages and runs the entries.
 func (f *fleet) step(d time.Duration) {
 	f.now = f.now.Add(d)
-	due := f.mail
-	f.mail = nil
+	due := f.inFlight
+	f.inFlight = nil
 	for _, m := range due {
 		if m.at.After(f.now) {
-			f.mail = append(f.mail, m)
+			f.inFlight = append(f.inFlight, m)
 			continue
 		}
 		f.deliver(m)
@@ -118,30 +126,31 @@
 	}
 }
 
-func (f *fleet) deliver(m fleetMail) {
+func (f *fleet) deliver(m fleetMessage) {
 	switch {
-	case m.ask != nil && f.now.Before(f.leaderless):
+	case m.ask != nil && f.now.Before(f.leaderlessUntil):
 	case m.ask != nil:
-		stamped := f.base + int64(f.rate*float64(f.now.Sub(f.leads).Milliseconds()))
+		stamped := f.leaderBase + int64(f.clockRate*float64(f.now.Sub(f.leaderSince).Milliseconds()))
 		f.replicated = max(f.replicated, stamped)
 		answer := f.pool.Step(f.replicated, *m.ask)
-		f.post(fleetMail{entry: m.entry, answer: &answer, id: m.ask.ID})
+		f.send(fleetMessage{entry: m.entry, answer: &answer, id: m.ask.ID})
 	case m.answer.Granted:
-		asked, waits := m.entry.asked[m.id]
-		delete(m.entry.asked, m.id)
-		if !waits || !NewLease(asked).Valid(m.entry.clock(f.now)) {
+		askedAt, pending := m.entry.askedAt[m.id]
+		delete(m.entry.askedAt, m.id)
+		if !pending || !NewLease(askedAt).Valid(m.entry.clock(f.now)) {
 			return
 		}
 		if f.rng.IntN(10) == 0 { // not needed any more
-			f.post(fleetMail{entry: m.entry, ask: f.giveBack(m.id)})
+			f.send(fleetMessage{entry: m.entry, ask: f.returnOf(m.id)})
 			return
 		}
 		f.granted++
-		f.send()
+		f.sendRetry()
 	}
 }
 
-func (f *fleet) giveBack(id string) *Ask {
+// returnOf returns the ask that returns the grant of an earlier ask.
+func (f *fleet) returnOf(id string) *Ask {
 	a := Ask{ID: id, Service: "s", Purpose: PurposeRetry, Return: true, Limits: f.limits}
 	if f.cold {
 		a.Purpose, a.Target = PurposeColdStart, "t"
@@ -149,23 +158,23 @@
 	return &a
 }
 
-// send lets a retry arrive at its target.
-func (f *fleet) send() {
+// sendRetry records the arrival of a retry at its target.
+func (f *fleet) sendRetry() {
 	f.arrivals = append(f.arrivals, f.now.Add(time.Duration(f.rng.Int64N(int64(sendTime)))))
 }
 
-// run lets an entry get requests, and retry some.
+// run simulates one step of an entry, in which it may get a request and may need a retry.
 func (f *fleet) run(e *fleetEntry, d time.Duration) {
 	now := e.clock(f.now)
-	if f.rng.Float64() < e.load*d.Seconds() {
+	if f.rng.Float64() < e.requestRate*d.Seconds() {
 		e.own.First(now)
-		f.firsts = append(f.firsts, f.now)
+		f.requests = append(f.requests, f.now)
 	}
-	if f.rng.Float64() >= e.need*d.Seconds() {
+	if f.rng.Float64() >= e.retryRate*d.Seconds() {
 		return
 	}
 	if !f.cold && e.own.Take(now).OK {
-		f.send()
+		f.sendRetry()
 		return
 	}
 	f.asks++
@@ -173,22 +182,24 @@
 	if f.cold {
 		a.Purpose, a.Target = PurposeColdStart, "t"
 	}
-	e.asked[a.ID] = now
-	f.post(fleetMail{entry: e, ask: &a})
-	if f.rng.IntN(4) == 0 { // asked again for want of an answer
-		f.post(fleetMail{entry: e, ask: &a})
+	e.askedAt[a.ID] = now
+	f.send(fleetMessage{entry: e, ask: &a})
+	if f.rng.IntN(4) == 0 { // repeated for lack of an answer
+		f.send(fleetMessage{entry: e, ask: &a})
 	}
 }
 
-func (f *fleet) disturb() {
+// injectFaults changes the load, restarts, partitions and heals some entries, and may change
+// the leader.
+func (f *fleet) injectFaults() {
 	storm := f.rng.IntN(2) == 0
 	for _, e := range f.entries {
-		// All entries together get some hundred requests a second, or few, or need many
-		// retries at once.
-		e.load = 100 * f.rng.Float64() * float64(f.rng.IntN(2)) / float64(len(f.entries))
-		e.need = 40 * f.rng.Float64() / float64(len(f.entries))
+		// All entries together get up to 100 requests per second, with about half of the
+		// entries idle, and need up to 40 retries per second, or 150 in a retry storm.
+		e.requestRate = 100 * f.rng.Float64() * float64(f.rng.IntN(2)) / float64(len(f.entries))
+		e.retryRate = 40 * f.rng.Float64() / float64(len(f.entries))
 		if storm {
-			e.need = 150 / float64(len(f.entries))
+			e.retryRate = 150 / float64(len(f.entries))
 		}
 	}
 	for range 1 + len(f.entries)/10 {
@@ -197,22 +208,22 @@
 		case 0:
 			f.restart(e)
 		case 1:
-			e.cut = true
+			e.partitioned = true
 		case 2:
-			e.cut = false
+			e.partitioned = false
 		}
 	}
 	if f.rng.IntN(3) == 0 {
-		f.lead()
+		f.changeLeader()
 	}
 }
 
-// check holds the retries of each window against the bound.
+// check asserts that the retries of every window are within the bound.
 func (f *fleet) check(c *qt.C) {
 	sorted := func(list []time.Time) []time.Time {
 		return slices.SortedFunc(slices.Values(list), func(a, b time.Time) int { return cmp.Compare(a.UnixNano(), b.UnixNano()) })
 	}
-	firsts, arrivals := sorted(f.firsts), sorted(f.arrivals)
+	requests, arrivals := sorted(f.requests), sorted(f.arrivals)
 	in := func(list []time.Time, from, to time.Time) int {
 		index := func(at time.Time) int {
 			i, _ := slices.BinarySearchFunc(list, at, func(a, b time.Time) int { return cmp.Compare(a.UnixNano(), b.UnixNano()) })
@@ -225,22 +236,23 @@
 		for _, later := range []time.Duration{1, w / 4, w / 2, 3 * w / 4, w} {
 			end := at.Add(later)
 			from := end.Add(-w)
-			most := max(in(firsts, from, end), in(firsts, from.Add(-w), from), in(firsts, from.Add(-w/2), end.Add(-w/2)))
+			most := max(in(requests, from, end), in(requests, from.Add(-w), from), in(requests, from.Add(-w/2), end.Add(-w/2)))
 			got, bound := in(arrivals, from, end), f.limits.Ratio*float64(most)+f.limits.Slack
-			c.Assert(float64(got) <= bound, qt.IsTrue, qt.Commentf("%d retries in the window to %v, of %.1f", got, end.Sub(t0), bound))
+			c.Assert(float64(got) <= bound, qt.IsTrue, qt.Commentf("%d retries in the window that ends at %v, bound %.1f", got, end.Sub(t0), bound))
 		}
 	}
 }
 
-// TestAllRetriesStayUnderTheBound guards against a sum of retries over all entries that
-// passes the bound of the fleet, whatever is lost, late, copied, restarted or cut off.
+// TestAllRetriesStayUnderTheBound guards against retries of all entries that together exceed
+// the bound of the fleet while messages are lost, delayed and duplicated and entries restart or
+// are partitioned.
 func TestAllRetriesStayUnderTheBound(t *testing.T) {
-	play := func(t *testing.T, seed uint64, entries int, lasts time.Duration) *fleet {
+	simulate := func(t *testing.T, seed uint64, entries int, duration time.Duration) *fleet {
 		f := newFleet(seed, entries, Limits{Ratio: 0.2, Slack: float64(20 + seed%60), Window: 10 * time.Second})
 		const step = 20 * time.Millisecond
-		for i := range int(lasts / step) {
+		for i := range int(duration / step) {
 			if i%int((3*time.Second+time.Duration(seed%7)*time.Second)/step) == 0 {
-				f.disturb()
+				f.injectFaults()
 			}
 			f.step(step)
 		}
@@ -250,11 +262,11 @@
 	granted, arrived := 0, 0
 	const histories, large = 200, 4
 	for seed := range uint64(histories) {
-		f := play(t, seed, 1+int(seed%12), 40*time.Second)
+		f := simulate(t, seed, 1+int(seed%12), 40*time.Second)
 		granted, arrived = granted+f.granted, arrived+len(f.arrivals)
 	}
 	for seed := range uint64(large) {
-		f := play(t, 1000+seed, 320, 25*time.Second)
+		f := simulate(t, 1000+seed, 320, 25*time.Second)
 		granted, arrived = granted+f.granted, arrived+len(f.arrivals)
 	}
 	t.Logf("%d histories, %d retries, %d of them from the pool", histories+large, arrived, granted)
@@ -262,8 +274,8 @@
 }
 
 // TestColdTargetGetsNoMoreThanItBears guards against entries that together send a cold target
-// more requests in a second than the configuration says, whatever is lost, late, copied,
-// restarted or cut off.
+// more requests per second than the configuration allows while messages are lost, delayed and
+// duplicated and entries restart or are partitioned.
 func TestColdTargetGetsNoMoreThanItBears(t *testing.T) {
 	granted, refused := 0, 0
 	const histories = 200
@@ -277,20 +289,20 @@
 		const step = 10 * time.Millisecond
 		for i := range int(10 * time.Second / step) {
 			if i%int(2*time.Second/step) == 0 {
-				f.disturb()
+				f.injectFaults()
 			}
 			f.step(step)
 		}
 		f.check(qt.New(t))
 		granted, refused = granted+f.granted, refused+f.asks-f.granted
 	}
-	t.Logf("%d histories, %d requests granted, %d not", histories, granted, refused)
+	t.Logf("%d histories, %d requests granted, %d not granted", histories, granted, refused)
 	qt.New(t).Assert(granted > histories*50, qt.IsTrue)
 	qt.New(t).Assert(refused > histories*50, qt.IsTrue)
 }
 
-// TestLateUseOfLeasesIsCounted guards against grants that are free again before the last
-// retry of the earlier ones has left the window.
+// TestLateUseOfLeasesIsCounted guards against grants that become free again while retries sent
+// late under them still count in the window.
 func TestLateUseOfLeasesIsCounted(t *testing.T) {
 	c := qt.New(t)
 	l := Limits{Slack: 10, Window: 10 * time.Second}
@@ -302,18 +314,18 @@
 			continue
 		}
 		if len(arrivals) < int(l.Slack) {
-			asked = asked.Add(LeaseTime + sendTime) // used at the last moment, and slowly
+			asked = asked.Add(LeaseTime + sendTime) // used just before the lease expires, and slow to arrive
 		}
 		arrivals = append(arrivals, asked)
 	}
 	c.Assert(len(arrivals) > int(l.Slack), qt.IsTrue)
 	for _, at := range arrivals {
-		c.Assert(float64(counted(arrivals, at, at.Add(l.Window))) <= l.Slack, qt.IsTrue)
+		c.Assert(float64(countBetween(arrivals, at, at.Add(l.Window))) <= l.Slack, qt.IsTrue)
 	}
 }
 
-// TestNineTenthsOfTheSlackCanBeUsed guards against a pool that refuses retries while
-// much of the slack is free, and strands streams for that.
+// TestNineTenthsOfTheSlackCanBeUsed guards against a pool that refuses retries, and so breaks
+// streams, while much of the slack is unused.
 func TestNineTenthsOfTheSlackCanBeUsed(t *testing.T) {
 	c := qt.New(t)
 	l := Limits{Slack: 100, Window: 10 * time.Second}
--- a/core/retrybudget/own_test.go
+++ b/core/retrybudget/own_test.go
@@ -9,7 +9,8 @@
 
 var t0 = time.Unix(1000, 0)
 
-func counted(list []time.Time, from, to time.Time) int {
+// countBetween returns how many of the times in list are in the interval [from, to).
+func countBetween(list []time.Time, from, to time.Time) int {
 	n := 0
 	for _, at := range list {
 		if !at.Before(from) && at.Before(to) {
@@ -19,18 +20,18 @@
 	return n
 }
 
-// TestOwnPartStaysUnderTheRatioInAnyWindow guards against retries that double the load
-// of a service which fails for all its callers.
+// TestOwnPartStaysUnderTheRatioInAnyWindow guards against retries that double the load of a
+// service that fails for all callers.
 func TestOwnPartStaysUnderTheRatioInAnyWindow(t *testing.T) {
 	c := qt.New(t)
 	limits := Limits{Ratio: 0.2, Window: 10 * time.Second}
 	o := NewLocalBudget(limits, t0)
-	var firsts, retries []time.Time
+	var requests, retries []time.Time
 	for i := range 3000 {
 		now := t0.Add(time.Duration(i) * 20 * time.Millisecond)
-		if i/500%2 == 0 { // ten seconds of load, ten of little
+		if i/500%2 == 0 { // ten seconds with requests, ten without
 			o.First(now)
-			firsts = append(firsts, now)
+			requests = append(requests, now)
 		}
 		if o.Take(now).OK {
 			retries = append(retries, now)
@@ -38,13 +39,14 @@
 	}
 	for _, end := range retries {
 		from := end.Add(-limits.Window)
-		most := max(counted(firsts, from, end), counted(firsts, from.Add(-limits.Window), from), counted(firsts, from.Add(-limits.Window/2), end.Add(-limits.Window/2)))
-		c.Assert(float64(counted(retries, from, end)) <= limits.Ratio*float64(most), qt.IsTrue)
+		most := max(countBetween(requests, from, end), countBetween(requests, from.Add(-limits.Window), from), countBetween(requests, from.Add(-limits.Window/2), end.Add(-limits.Window/2)))
+		c.Assert(float64(countBetween(retries, from, end)) <= limits.Ratio*float64(most), qt.IsTrue)
 	}
 	c.Assert(len(retries) > 100, qt.IsTrue)
 }
 
-// A retry that was taken and could not be sent counts no more.
+// A retry that was taken but not sent must no longer count once it is returned, and a second
+// return must not free another one.
 func TestOwnRetryIsGivenBack(t *testing.T) {
 	c := qt.New(t)
 	o := NewLocalBudget(Limits{Ratio: 0.2, Window: 10 * time.Second}, t0)
@@ -59,7 +61,7 @@
 	c.Assert(o.Take(t0.Add(time.Second)), qt.Equals, Verdict{Used: 1, Allowed: 1})
 }
 
-// Requests pay for retries of one window only.
+// A request allows retries only within one window after it.
 func TestOldRequestsPayForNothing(t *testing.T) {
 	c := qt.New(t)
 	o := NewLocalBudget(Limits{Ratio: 1, Window: 10 * time.Second}, t0)
@@ -70,7 +72,7 @@
 	c.Assert(o.Take(t0.Add(10*time.Second)).Allowed, qt.Equals, 0.0)
 }
 
-// TestRetriesOfAWholeWindowAreCounted guards against a retry that is forgotten while it
+// TestRetriesOfAWholeWindowAreCounted guards against a retry that is no longer counted while it
 // is still in the window.
 func TestRetriesOfAWholeWindowAreCounted(t *testing.T) {
 	c := qt.New(t)
--- a/core/retrybudget/pool.go
+++ b/core/retrybudget/pool.go
@@ -9,49 +9,50 @@
 )
 
 const (
-	// maxAccounts bounds how many accounts the pool has.
+	// maxAccounts bounds the number of accounts in the pool.
 	maxAccounts = 8192
-	// maxName bounds the bytes of an ask's ID and of its service.
+	// maxName bounds the bytes of an ask's ID, service and target, each.
 	maxName = 128
-	// maxSlack bounds the retries that are remembered of one service.
+	// maxSlack bounds Limits.Slack, and with it the grants in force in one account.
 	maxSlack = 100_000
-	// microsPerMilli converts the replicated time to that of a pace.
+	// microsPerMilli converts the replicated time to the unit of Account.Next.
 	microsPerMilli = 1000
 )
 
-// Grant is one retry that was granted.
+// Grant is a granted retry or request.
 type Grant struct {
 	ID string `cbor:"1,keyasint"`
-	// Until is the replicated time, in milliseconds, up to which it counts.
+	// Until is the replicated time, in milliseconds, until which the grant counts.
 	Until int64 `cbor:"2,keyasint"`
-	// Returned grants are remembered, so that a late copy of the ask gets no other one.
+	// Returned is set on a returned grant. It is remembered so that a delayed duplicate of
+	// the ask gets no other grant.
 	Returned bool `cbor:"3,keyasint,omitempty"`
 }
 
-// Account holds the grants of one service, or of one target of it that is cold or that names
-// a limit.
+// Account holds the grants for the retries of one service, or for requests to one of its
+// targets that is cold or states a limit.
 type Account struct {
 	Service api.ServiceID `cbor:"1,keyasint"`
 	Target  api.TargetID  `cbor:"3,keyasint,omitempty"`
-	// Grants are in the order of Until.
+	// Grants are sorted by Until.
 	Grants []Grant `cbor:"2,keyasint"`
-	// Paced is set for the account of a target's limit.
+	// Paced is set for the account of a target that states a limit.
 	Paced bool `cbor:"4,keyasint,omitempty"`
 	// Next is the replicated time, in microseconds, at which the next paced grant is due.
 	Next int64 `cbor:"5,keyasint,omitempty"`
 }
 
-// Pool is the part of the budget that all entries share. It is a replicated state
-// machine: equal asks in equal order give equal answers, and time is the replicated
-// clock, which is never ahead of what has really passed.
+// Pool is the part of the budget that all entries share. It is a replicated state machine: the
+// same asks in the same order give the same answers. Time is the replicated clock, which never
+// runs ahead of the time that has actually passed.
 //
-// Its grants are entries of the replicated log, so that there is one order of all of them,
-// through changes of leader and restarts: no two grantors give the same one.
+// Its grants are entries of the replicated log, so that they have a single order across leader
+// changes and restarts, and no two leaders can grant the same retry.
 type Pool struct {
 	accounts map[accountKey]*Account
 }
 
-// accountKey names an account; target is empty for that of a service's retries.
+// accountKey identifies an account; target is empty for the retries of a service.
 type accountKey struct {
 	service api.ServiceID
 	target  api.TargetID
@@ -64,10 +65,10 @@
 
 func (c *Account) key() accountKey { return accountKey{c.Service, c.Target, c.Paced} }
 
-// NewPool gives a pool of which nothing is granted.
+// NewPool returns a pool without grants.
 func NewPool() *Pool { return &Pool{accounts: make(map[accountKey]*Account)} }
 
-// Step decides an ask at a replicated time in milliseconds.
+// Step applies an ask at a replicated time in milliseconds and returns the answer.
 func (p *Pool) Step(now int64, a Ask) Answer {
 	p.expire(now)
 	if !a.valid() {
@@ -84,7 +85,7 @@
 		account = &Account{Service: a.Service, Target: a.Target, Paced: a.paced()}
 	}
 	if known := account.find(a.ID); known != nil {
-		return account.again(known, a)
+		return account.answerKnown(known, a)
 	}
 	if a.Return {
 		return Answer{}
@@ -92,13 +93,14 @@
 	return p.grant(account, now, a)
 }
 
+// valid reports whether the ask is complete and within the bounds that the pool accepts.
 func (a *Ask) valid() bool {
 	return a.ID != "" && len(a.ID) <= maxName && a.Service != "" && len(a.Service) <= maxName &&
 		a.purposeFits() && a.Rate >= 0 &&
 		a.Limits.Window > 0 && a.Limits.Slack >= 0 && a.Limits.Slack <= maxSlack
 }
 
-// purposeFits tells whether the purpose is known and has the target that it needs.
+// purposeFits reports whether the purpose is known, and has a target exactly if it needs one.
 func (a *Ask) purposeFits() bool {
 	switch a.Purpose {
 	case PurposeResume, PurposeRetry:
@@ -109,7 +111,7 @@
 	return false
 }
 
-// allowed is how many retries may be granted at a time for the purpose.
+// allowed returns how many grants may be in force at a time for the purpose.
 func (a *Ask) allowed() float64 {
 	if a.Purpose == PurposeRetry {
 		return a.Limits.Slack * (1 - resumeShare)
@@ -117,11 +119,11 @@
 	return a.Limits.Slack
 }
 
-// Check tells whether the pool would grant an ask now.
+// Check returns the answer to an ask at a replicated time in milliseconds, without applying it.
 func (p *Pool) Check(now int64, a Ask) Answer {
 	account := p.accounts[a.key()]
 	if a.paced() {
-		return account.pace(now, a)
+		return account.checkPace(now, a)
 	}
 	used := 0
 	if account != nil {
@@ -136,6 +138,7 @@
 	return answer
 }
 
+// grant answers a new ask, and adds the grant to the account if it is granted.
 func (p *Pool) grant(account *Account, now int64, a Ask) Answer {
 	answer := p.Check(now, a)
 	if !answer.Granted {
@@ -145,12 +148,13 @@
 	if a.paced() {
 		account.advance(now, a)
 	}
-	account.put(Grant{ID: a.ID, Until: now + a.Limits.hold().Milliseconds() + 1})
+	account.insert(Grant{ID: a.ID, Until: now + a.Limits.holdTime().Milliseconds() + 1})
 	return answer
 }
 
-// put keeps the order also where the window of an earlier ask was longer.
-func (c *Account) put(g Grant) {
+// insert adds a grant in the order of Until, also if an earlier grant with a longer window ends
+// later.
+func (c *Account) insert(g Grant) {
 	at := len(c.Grants)
 	for at > 0 && c.Grants[at-1].Until > g.Until {
 		at--
@@ -167,8 +171,8 @@
 	return nil
 }
 
-// again answers an ask that was decided before.
-func (c *Account) again(known *Grant, a Ask) Answer {
+// answerKnown answers an ask for which the account has a grant, and applies a return.
+func (c *Account) answerKnown(known *Grant, a Ask) Answer {
 	if a.Return && !known.Returned {
 		known.Returned = true
 		if c.Paced {
@@ -181,7 +185,7 @@
 	return Answer{Granted: true, Allowed: a.allowed()}
 }
 
-// used counts what is granted at a time.
+// used returns the number of grants that count at a time.
 func (c *Account) used(now int64) int {
 	n := 0
 	for i := range c.Grants {
@@ -192,7 +196,7 @@
 	return n
 }
 
-// nextFree tells when the first grant ends.
+// nextFree returns the time until the first of the grants that count ends, zero if there is none.
 func (c *Account) nextFree(now int64) time.Duration {
 	if c == nil {
 		return 0
@@ -205,7 +209,7 @@
 	return 0
 }
 
-// expire forgets what counts no more.
+// expire removes grants that have ended, and accounts without grants whose next paced grant is due.
 func (p *Pool) expire(now int64) {
 	for id, c := range p.accounts {
 		c.Grants = slices.DeleteFunc(c.Grants, func(g Grant) bool { return g.Until <= now })
@@ -215,7 +219,7 @@
 	}
 }
 
-// Snapshot gives a copy of all accounts in the order of their services and targets.
+// Snapshot returns a copy of all accounts, sorted by service, target and kind.
 func (p *Pool) Snapshot() []Account {
 	out := make([]Account, 0, len(p.accounts))
 	for _, c := range p.accounts {
@@ -227,7 +231,7 @@
 	return out
 }
 
-// RestorePool gives the pool that Snapshot was taken of.
+// RestorePool returns the pool that a Snapshot was taken of.
 func RestorePool(list []Account) *Pool {
 	p := NewPool()
 	for _, c := range list {
@@ -243,7 +247,7 @@
 	return account
 }
 
-// kind orders the accounts of one target.
+// kind returns the sort key of accounts of the same target.
 func (c *Account) kind() int {
 	if c.Paced {
 		return 1
--- a/core/retrybudget/pool_test.go
+++ b/core/retrybudget/pool_test.go
@@ -9,11 +9,13 @@
 	qt "github.com/frankban/quicktest"
 )
 
-var four = Limits{Slack: 4, Window: 10 * time.Second}
+// slackFour allows 4 grants in a window.
+var slackFour = Limits{Slack: 4, Window: 10 * time.Second}
 
-func ask(id string, p Purpose) Ask { return Ask{ID: id, Service: "s", Purpose: p, Limits: four} }
+// ask returns an ask for a grant under slackFour.
+func ask(id string, p Purpose) Ask { return Ask{ID: id, Service: "s", Purpose: p, Limits: slackFour} }
 
-// What the pool says to asks, one after the other.
+// Sequences of asks and returns.
 func TestPool(t *testing.T) {
 	resume, retry := PurposeResume, PurposeRetry
 	back := func(id string) Ask { a := ask(id, resume); a.Return = true; return a }
@@ -22,7 +24,7 @@
 		a.Target = target
 		return a
 	}
-	after := four.hold().Milliseconds() + 1
+	after := slackFour.holdTime().Milliseconds() + 1
 	type step struct {
 		at   int64
 		ask  Ask
@@ -33,32 +35,32 @@
 		steps []step
 	}{
 		{"up to the slack", []step{{0, ask("1", resume), true}, {0, ask("2", resume), true}, {0, ask("3", resume), true}, {0, ask("4", resume), true}, {0, ask("5", resume), false}}},
-		{"a quarter is kept for streams", []step{{0, ask("1", retry), true}, {0, ask("2", retry), true}, {0, ask("3", retry), true}, {0, ask("4", retry), false}, {0, ask("5", resume), true}}},
+		{"a quarter is reserved for resumed streams", []step{{0, ask("1", retry), true}, {0, ask("2", retry), true}, {0, ask("3", retry), true}, {0, ask("4", retry), false}, {0, ask("5", resume), true}}},
 		{"the same ask twice", []step{{0, ask("1", resume), true}, {1, ask("1", resume), true}, {1, ask("2", resume), true}, {1, ask("3", resume), true}, {1, ask("4", resume), true}, {1, ask("5", resume), false}}},
 		{"free after the window", []step{{0, ask("1", retry), true}, {0, ask("2", retry), true}, {0, ask("3", retry), true}, {after - 1, ask("4", retry), false}, {after, ask("5", retry), true}}},
 		{"returned", []step{{0, ask("1", retry), true}, {0, ask("2", retry), true}, {0, ask("3", retry), true}, {0, back("3"), false}, {0, ask("4", retry), true}, {0, ask("5", retry), false}}},
-		{"a late copy of a returned ask", []step{{0, ask("1", retry), true}, {0, back("1"), false}, {1, ask("1", retry), false}}},
-		{"a return of what was never granted", []step{{0, back("9"), false}, {0, ask("1", retry), true}, {0, back("9"), false}}},
+		{"a delayed duplicate of a returned ask", []step{{0, ask("1", retry), true}, {0, back("1"), false}, {1, ask("1", retry), false}}},
+		{"a return of a grant that never existed", []step{{0, back("9"), false}, {0, ask("1", retry), true}, {0, back("9"), false}}},
 		{"a cold target has an account of its own", []step{{0, cold("1", "t"), true}, {0, cold("2", "t"), true}, {0, cold("3", "t"), true}, {0, cold("4", "t"), true}, {0, cold("5", "t"), false}, {0, cold("6", "u"), true}, {0, ask("7", retry), true}}},
-		{"another service", []step{{0, ask("1", retry), true}, {0, ask("2", retry), true}, {0, ask("3", retry), true}, {0, Ask{ID: "4", Service: "t", Purpose: retry, Limits: four}, true}}},
+		{"another service", []step{{0, ask("1", retry), true}, {0, ask("2", retry), true}, {0, ask("3", retry), true}, {0, Ask{ID: "4", Service: "t", Purpose: retry, Limits: slackFour}, true}}},
 	} {
 		t.Run(tt.name, func(t *testing.T) {
 			c := qt.New(t)
 			p := NewPool()
 			for i, s := range tt.steps {
-				p = RestorePool(p.Snapshot()) // a member that is restarted decides alike
+				p = RestorePool(p.Snapshot()) // a restarted member must give the same answers
 				c.Assert(p.Step(s.at, s.ask).Granted, qt.Equals, s.want, qt.Commentf("step %d", i))
 			}
 		})
 	}
 }
 
-// Asks that can't be used are refused with a reason and leave nothing behind.
+// Invalid asks must be refused with a reason and must not change the pool.
 func TestPoolRefusesBadAsks(t *testing.T) {
 	long := string(make([]byte, maxName+1))
 	for name, change := range map[string]func(*Ask){
 		"no ID":                         func(a *Ask) { a.ID = "" },
-		"an ID without end":             func(a *Ask) { a.ID = long },
+		"a long ID":                     func(a *Ask) { a.ID = long },
 		"no service":                    func(a *Ask) { a.Service = "" },
 		"a long service":                func(a *Ask) { a.Service = api.ServiceID(long) },
 		"no purpose":                    func(a *Ask) { a.Purpose = 0 },
@@ -82,19 +84,19 @@
 	}
 }
 
-// TestPoolIsBounded guards against asks for invented services that take all memory.
+// TestPoolIsBounded guards against asks for nonexistent services that use up the memory.
 func TestPoolIsBounded(t *testing.T) {
 	c := qt.New(t)
 	p := NewPool()
 	for i := range maxAccounts {
-		c.Assert(p.Step(0, Ask{ID: "1", Service: api.ServiceID(fmt.Sprint(i)), Purpose: PurposeRetry, Limits: four}).Granted, qt.IsTrue)
+		c.Assert(p.Step(0, Ask{ID: "1", Service: api.ServiceID(fmt.Sprint(i)), Purpose: PurposeRetry, Limits: slackFour}).Granted, qt.IsTrue)
 	}
 	c.Assert(p.Step(0, ask("1", PurposeRetry)), qt.Equals, Answer{Reason: api.ReasonRetryBudget})
-	c.Assert(p.Step(four.hold().Milliseconds()+1, ask("1", PurposeRetry)).Granted, qt.IsTrue)
+	c.Assert(p.Step(slackFour.holdTime().Milliseconds()+1, ask("1", PurposeRetry)).Granted, qt.IsTrue)
 }
 
-// TestLeaseEndsByEitherClock guards against a machine that was suspended with a lease
-// and sends when it wakes up: its steady clock did not run.
+// TestLeaseEndsByEitherClock guards against a machine that was suspended with a lease and uses
+// it after it resumes: its monotonic clock was stopped in between.
 func TestLeaseEndsByEitherClock(t *testing.T) {
 	c := qt.New(t)
 	asked := time.Now()
--- a/core/retrybudget/retrybudget.go
+++ b/core/retrybudget/retrybudget.go
@@ -1,13 +1,13 @@
-// Package retrybudget bounds how many requests all entries together send to a further
-// target in any window: a share of a service's requests, and so many more. Out of the same
-// pool it bounds how many they send to one target that is cold, and at what pace to one that
-// names a limit.
+// Package retrybudget bounds how many retries all entries together send in any window: a
+// ratio of the service's requests plus a fixed slack. A retry is a request sent again, to
+// another target. The same pool also bounds how many requests the entries together send to
+// a cold target, and at what rate they send to a target that states a limit.
 //
-// An entry pays a retry from its Own part, which follows from the requests that it has
-// sent itself, or from the Pool, which the control group keeps as a part of its
-// replicated state and hands out one retry at a time. The sum holds without any
-// knowledge of how many entries there are: both parts are counted where they are
-// granted. Nothing here sends or waits, and no type is safe for concurrent use.
+// An entry takes a retry from its LocalBudget, which allows a ratio of the requests that the
+// entry has sent itself, or from the Pool, which the control group holds in its replicated state
+// and which grants one retry at a time. The bound holds for any number of entries, because each
+// part is counted where it is granted. The package does no I/O and never blocks, and no type
+// is safe for concurrent use.
 package retrybudget
 
 import (
@@ -16,65 +16,66 @@
 	"almondseam.dev/core/api"
 )
 
-// Limits of the whole fleet for one service.
+// Limits are the limits of the whole fleet for the retries of one service, or for the requests
+// to one target (see ColdLimits and PaceLimits).
 type Limits struct {
-	// Ratio is the share of a service's requests that may be retried.
+	// Ratio is the number of retries allowed per request of the service.
 	Ratio float64 `cbor:"1,keyasint,omitempty"`
-	// Slack is how many retries are allowed in a window besides.
+	// Slack is the number of retries allowed in a window in addition.
 	Slack float64 `cbor:"2,keyasint,omitempty"`
-	// Window is the span over which both are counted.
+	// Window is the time over which requests and retries are counted.
 	Window time.Duration `cbor:"3,keyasint,omitempty"`
 }
 
 const (
-	// LeaseTime is how long a granted retry may be used, counted by the entry from
-	// when it asked.
+	// LeaseTime is how long a granted retry may be used. The entry counts it from when
+	// it asked for the grant.
 	LeaseTime = 500 * time.Millisecond
-	// sendTime bounds how long after the use of a lease the request reaches its target:
-	// the time in which a connection is opened.
+	// sendTime bounds the time from the use of a lease until the request reaches its
+	// target, which includes opening a connection.
 	sendTime = 400 * time.Millisecond
-	// driftShare is the part by which the clocks of two processes may differ.
+	// driftShare is the fraction by which the clock rates of two processes may differ.
 	driftShare = 0.01
 )
 
-// hold is how long a grant counts against a window. It covers the window itself and
-// the time from the grant until the request arrives, so that retries that arrive in
-// one window are counted at the same time.
-func (l Limits) hold() time.Duration {
+// holdTime returns how long a grant counts against the limits. It covers the window and the
+// time from the grant until the request arrives, so that all retries that arrive within one
+// window are counted at the same time.
+func (l Limits) holdTime() time.Duration {
 	return time.Duration(float64(l.Window+LeaseTime+sendTime) * (1 + driftShare))
 }
 
-// Purpose says what a retry is for.
+// Purpose is the purpose for which a grant is requested.
 type Purpose uint8
 
 // The purposes.
 const (
-	// PurposeResume continues a run whose caller has been given a part of its answer.
+	// PurposeResume continues a request whose caller has already received part of the answer.
 	PurposeResume Purpose = iota + 1
-	// PurposeRetry repeats a request of which its caller has nothing yet.
+	// PurposeRetry repeats a request whose caller has received nothing yet.
 	PurposeRetry
-	// PurposeColdStart sends a request, the first time or again, to a target that is cold.
+	// PurposeColdStart sends a request, or sends one again, to a cold target.
 	PurposeColdStart
-	// PurposeLimited sends a request, the first time or again, to a target that names a limit.
+	// PurposeLimited sends a request, or sends one again, to a target that states a limit.
 	PurposeLimited
 )
 
-// PaceLimits are the limits of a target that names a limit: its pace bounds the grants, and
-// they are remembered for a while.
-func PaceLimits() Limits { return Limits{Window: replay} }
+// PaceLimits returns the limits for PurposeLimited. They only set how long grants are
+// remembered; the grants are bounded by the target's rate.
+func PaceLimits() Limits { return Limits{Window: paceWindow} }
 
-// ColdWindow is the span over which requests to a cold target are counted.
+// ColdWindow is the time over which requests to a cold target are counted.
 const ColdWindow = time.Second
 
-// ColdLimits are the limits of a cold target that bears so many requests a second; at least
-// one in a window is allowed.
+// ColdLimits returns the limits of a cold target that can take rate requests per second. At
+// least one request per window is allowed.
 func ColdLimits(rate float64) Limits {
 	return Limits{Slack: max(rate, 1), Window: ColdWindow}
 }
 
-// resumeShare is the part of the slack that only PurposeResume may use. A request that
-// is not retried can be refused, and its caller comes back; a stream that is not
-// continued is lost with all that its caller has read.
+// resumeShare is the fraction of the slack that PurposeRetry may not use. A request that is
+// not retried can be refused, and its caller can send it again; a stream that is not resumed
+// is lost, including everything that its caller has already read.
 const resumeShare = 0.25
 
 // Lease is the right to send one retry.
@@ -82,42 +83,45 @@
 	asked time.Time
 }
 
-// NewLease gives the lease of a grant that was asked for at a time.
+// NewLease returns the lease of a grant; asked is when the entry asked for it.
 func NewLease(asked time.Time) Lease { return Lease{asked: asked} }
 
-// Valid tells whether the lease may still be used. It goes by the steady clock and by
-// the time of day: the steady clock stands still while a machine is suspended.
+// Valid reports whether the lease may still be used. It checks both the monotonic clock and
+// the wall clock, because the monotonic clock stops while a machine is suspended.
 func (l Lease) Valid(now time.Time) bool {
 	return within(l.asked, now, LeaseTime)
 }
 
-// within tells whether less than limit has passed, by both clocks.
+// within reports whether less than limit has passed since from by both the monotonic and the
+// wall clock, neither of them negative.
 func within(from, now time.Time, limit time.Duration) bool {
 	return bothWithin(now.Sub(from), now.Round(0).Sub(from.Round(0)), limit)
 }
 
-func bothWithin(steady, wall, limit time.Duration) bool {
-	return steady >= 0 && steady < limit && wall >= 0 && wall < limit
+func bothWithin(monotonic, wall, limit time.Duration) bool {
+	return monotonic >= 0 && monotonic < limit && wall >= 0 && wall < limit
 }
 
-// Ask asks the pool for one retry, or returns one that was not sent.
+// Ask is a request to the pool for one grant, or the return of a grant that was not used.
 type Ask struct {
-	// ID names the ask; asked again, it gets its first answer.
+	// ID identifies the ask. An ask that is repeated after it was granted gets the same grant,
+	// not another one.
 	ID      string        `cbor:"1,keyasint"`
 	Service api.ServiceID `cbor:"2,keyasint"`
 	Purpose Purpose       `cbor:"3,keyasint"`
-	// Target is the target of PurposeColdStart and PurposeLimited, and Rate how many requests a
-	// second it bears by the configuration, or takes by its own word; both are empty with other
-	// purposes.
+	// Target and Rate are set only for PurposeColdStart and PurposeLimited. Rate is the
+	// number of requests per second that the target can take, by the configuration for
+	// PurposeColdStart and by the target's own statement for PurposeLimited.
 	Target api.TargetID `cbor:"6,keyasint,omitempty"`
 	Rate   float64      `cbor:"7,keyasint,omitempty"`
-	// Return gives the retry of an earlier ask back.
+	// Return returns the grant of the earlier ask with the same ID.
 	Return bool `cbor:"4,keyasint,omitempty"`
-	// Limits are those of the member that proposes the ask, whatever the asker says.
+	// Limits are set by the control group member that proposes the ask, whatever the entry
+	// has sent.
 	Limits Limits `cbor:"5,keyasint"`
 }
 
-// LimitsOf gives the limits that the ask goes by, of which fleet are those of retries.
+// LimitsOf returns the limits that apply to the ask; fleet holds the limits for retries.
 func (a *Ask) LimitsOf(fleet Limits) Limits {
 	switch a.Purpose {
 	case PurposeColdStart:
@@ -131,12 +135,14 @@
 // Answer is the pool's decision.
 type Answer struct {
 	Granted bool `cbor:"1,keyasint,omitempty"`
-	// Reason says why not.
+	// Reason is why the grant was refused.
 	Reason api.Reason `cbor:"2,keyasint,omitempty"`
-	// Used counts the retries of the service that are granted, Allowed is how many may
-	// be for this purpose.
+	// Used is the number of grants in force for the service or the target, and Allowed the
+	// number allowed for the purpose, or the rate in requests per second for
+	// PurposeLimited. In the answer to a repeated ask, Used is zero, and so is Allowed for
+	// PurposeLimited.
 	Used    int     `cbor:"3,keyasint,omitempty"`
 	Allowed float64 `cbor:"4,keyasint,omitempty"`
-	// RetryAfter tells when one becomes free, zero where that is unknown.
+	// RetryAfter is the time until a grant becomes free, zero if unknown.
 	RetryAfter time.Duration `cbor:"5,keyasint,omitempty"`
 }
