--- a/core/state/limits_fleet_test.go
+++ b/core/state/limits_fleet_test.go
@@ -168,7 +168,7 @@
 		e.listed = list.Index
 		for _, l := range list.List {
 			if l.Born == e.born {
-				e.view = e.view.Told(l.Known(), f.now)
+				e.view = e.view.ApplyGroup(l.Known(), f.now)
 			}
 		}
 	})
@@ -186,12 +186,12 @@
 		f.refused++
 		return
 	}
-	if !e.view.Belief.Limited {
+	if !e.view.Current.Limited {
 		f.send(e)
 		return
 	}
 	f.ids++
-	asked, run, believed := f.now, e.run, e.view.Belief
+	asked, run, believed := f.now, e.run, e.view.Current
 	ask := retrybudget.Ask{ID: fmt.Sprint(f.ids), Service: "s", Target: "t", Purpose: retrybudget.PurposeLimited, Rate: believed.Rate, Limits: retrybudget.PaceLimits()}
 	answered := false
 	f.propose(e, Command{Retry: &ask}, func(r Result) {
@@ -204,13 +204,13 @@
 			f.send(e)
 		case !r.Retry.Granted:
 			f.refused++
-			e.heldTill = f.now.Add(targetlimit.AskAgain(believed.Rate, len(f.entries), r.Retry.RetryAfter, f.rng.Float64()))
+			e.heldTill = f.now.Add(targetlimit.RetryDelay(believed.Rate, len(f.entries), r.Retry.RetryAfter, f.rng.Float64()))
 		}
 	})
 	f.after(300*time.Millisecond, func() {
 		if !answered && e.run == run {
 			answered = true
-			e.heldTill = f.now.Add(targetlimit.AskAgain(believed.Rate, len(f.entries), 0, f.rng.Float64()))
+			e.heldTill = f.now.Add(targetlimit.RetryDelay(believed.Rate, len(f.entries), 0, f.rng.Float64()))
 		}
 	})
 }
@@ -237,7 +237,7 @@
 			if e.run != run || e.born != born {
 				return
 			}
-			says.Heard = f.now
+			says.Received = f.now
 			f.heard(e, says)
 		})
 	})
@@ -248,20 +248,20 @@
 	if says.Limited && e.toldAt.IsZero() {
 		e.toldAt = f.now
 	}
-	before := e.view.Belief
-	e.view = e.view.Answer(says)
-	if before.Limit != e.view.Belief.Limit || e.view.StateDue(f.now, LimitStatedEvery) {
+	before := e.view.Current
+	e.view = e.view.ApplyStatement(says)
+	if before.Limit != e.view.Current.Limit || e.view.ReportDue(f.now, LimitStatedEvery) {
 		f.state(e, 0)
 	}
 }
 
 // state tells the group what an entry goes by, again until the group has heard it.
 func (f *fleet) state(e *entry, tries int) {
-	b, run, born, done := e.view.Belief, e.run, e.born, false
+	b, run, born, done := e.view.Current, e.run, e.born, false
 	f.propose(e, Command{Limit: &LimitStatement{Target: "t", Born: born, Limited: b.Limited, Rate: b.Rate, Seen: b.Seen}}, func(r Result) {
 		done = true
 		if e.born == born {
-			e.view = e.view.Told(r.Limit.Known(), f.now)
+			e.view = e.view.ApplyGroup(r.Limit.Known(), f.now)
 		}
 	})
 	f.after(400*time.Millisecond, func() {
@@ -463,7 +463,7 @@
 					f.step(step)
 				}
 				for _, e := range f.entries {
-					qt.New(t).Assert(e.view.Belief.Limited, qt.IsFalse)
+					qt.New(t).Assert(e.view.Current.Limited, qt.IsFalse)
 				}
 			})
 		}
--- a/core/targetlimit/share.go
+++ b/core/targetlimit/share.go
@@ -6,11 +6,11 @@
 // while they have requests for it.
 const asksPerGrant = 2
 
-// AskAgain gives how long an instance that was refused a request to a target leaves it alone:
+// RetryDelay gives how long an instance that was refused a request to a target leaves it alone:
 // until the next one is free, and longer the more instances there are, so that what they ask
 // together follows the target's rate, in requests a second, and not their number. spread is
 // uniform in [0,1).
-func AskAgain(rate float64, instances int, free time.Duration, spread float64) time.Duration {
+func RetryDelay(rate float64, instances int, free time.Duration, spread float64) time.Duration {
 	share := time.Duration(float64(max(instances, 1)) / (asksPerGrant * max(rate, leastRate)) * float64(time.Second))
 	wait := max(free, min(share, askAgainMost))
 	return time.Duration((0.5 + spread) * float64(wait))
--- a/core/targetlimit/share_test.go
+++ b/core/targetlimit/share_test.go
@@ -12,7 +12,7 @@
 func TestAsksDoNotGrowWithTheFleet(t *testing.T) {
 	const rate = 200
 	for _, instances := range []int{100, 320, 1000} {
-		wait := AskAgain(rate, instances, time.Millisecond, 0.5)
+		wait := RetryDelay(rate, instances, time.Millisecond, 0.5)
 		asks := float64(instances) / wait.Seconds()
 		qt.New(t).Assert(asks <= asksPerGrant*rate+1, qt.IsTrue, qt.Commentf("%d instances ask %.0f times a second", instances, asks))
 	}
@@ -36,7 +36,7 @@
 	} {
 		t.Run(tt.name, func(t *testing.T) {
 			free := time.Duration(tt.free * float64(time.Second))
-			qt.New(t).Assert(AskAgain(tt.rate, tt.instances, free, tt.spread), qt.Equals, tt.want)
+			qt.New(t).Assert(RetryDelay(tt.rate, tt.instances, free, tt.spread), qt.Equals, tt.want)
 		})
 	}
 }
--- a/core/targetlimit/view.go
+++ b/core/targetlimit/view.go
@@ -21,9 +21,9 @@
 // request was sent and before the answer's head arrived.
 type Statement struct {
 	Limit
-	// Sent is when the request was sent, Heard when its answer's head arrived, by the clock of
+	// Sent is when the request was sent, Received when its answer's head arrived, by the clock of
 	// the instance that sent it.
-	Sent, Heard time.Time
+	Sent, Received time.Time
 	// Seen is the index of what the instance knew of the group when it sent the request.
 	Seen uint64
 }
@@ -36,47 +36,47 @@
 
 // View is what one instance knows of a target's limit. The zero value is no limit.
 type View struct {
-	// Belief is what the instance goes by.
-	Belief Statement
+	// Current is what the instance goes by.
+	Current Statement
 	// Group is what the control group goes by, as far as the instance knows since GroupAt.
 	Group   Known
 	GroupAt time.Time
 }
 
-// Answer gives the view after an answer of the target. Answers on different connections
+// ApplyStatement gives the view after an answer of the target. Answers on different connections
 // overtake each other: of two that may have been made in either order, the one that asks for
 // less counts.
-func (v View) Answer(s Statement) View {
-	b := v.Belief
+func (v View) ApplyStatement(s Statement) View {
+	b := v.Current
 	switch {
-	case s.Heard.Before(b.Sent):
-	case s.Sent.After(b.Heard), s.Stricter(b.Limit):
-		v.Belief = s
+	case s.Received.Before(b.Sent):
+	case s.Sent.After(b.Received), s.Stricter(b.Limit):
+		v.Current = s
 	case s.Limit == b.Limit && s.Sent.After(b.Sent):
-		v.Belief = s
+		v.Current = s
 	}
 	return v
 }
 
-// Told gives the view after the group has told what it goes by. An instance whose belief the
+// ApplyGroup gives the view after the group has told what it goes by. An instance whose belief the
 // group held follows it; one that has heard something else of the target itself only where
 // the group asks for less.
-func (v View) Told(k Known, now time.Time) View {
+func (v View) ApplyGroup(k Known, now time.Time) View {
 	if k.Index < v.Group.Index {
 		return v // from a member that lags
 	}
 	news := k.Index > v.Group.Index
-	if news && (v.Group.Limit == v.Belief.Limit || k.Stricter(v.Belief.Limit)) {
-		v.Belief = Statement{Limit: k.Limit, Sent: now, Heard: now, Seen: k.Index}
+	if news && (v.Group.Limit == v.Current.Limit || k.Stricter(v.Current.Limit)) {
+		v.Current = Statement{Limit: k.Limit, Sent: now, Received: now, Seen: k.Index}
 	}
 	v.Group, v.GroupAt = k, now
 	return v
 }
 
-// StateDue tells whether the group is to be told of the belief: it goes by something else, or
+// ReportDue tells whether the group is to be told of the belief: it goes by something else, or
 // has not been told for a while of a limit that the target goes on naming.
-func (v View) StateDue(now time.Time, every time.Duration) bool {
-	return v.Belief.Limit != v.Group.Limit || v.Belief.Limited && now.Sub(v.GroupAt) > every
+func (v View) ReportDue(now time.Time, every time.Duration) bool {
+	return v.Current.Limit != v.Group.Limit || v.Current.Limited && now.Sub(v.GroupAt) > every
 }
 
 // Accepts tells whether the group, which goes by k, takes a statement. One that asks for more
--- a/core/targetlimit/view_test.go
+++ b/core/targetlimit/view_test.go
@@ -19,7 +19,7 @@
 // What an instance goes by after answers that arrive in this order.
 func TestAnswers(t *testing.T) {
 	says := func(l Limit, sent, heard float64) Statement {
-		return Statement{Limit: l, Sent: at(sent), Heard: at(heard)}
+		return Statement{Limit: l, Sent: at(sent), Received: at(heard)}
 	}
 	for _, tt := range []struct {
 		name  string
@@ -42,9 +42,9 @@
 		t.Run(tt.name, func(t *testing.T) {
 			var v View
 			for _, s := range tt.heard {
-				v = v.Answer(s)
+				v = v.ApplyStatement(s)
 			}
-			qt.New(t).Assert(v.Belief.Limit, qt.Equals, tt.want)
+			qt.New(t).Assert(v.Current.Limit, qt.Equals, tt.want)
 		})
 	}
 }
@@ -55,11 +55,11 @@
 	type step func(View) View
 	hears := func(l Limit, sent, heard float64) step {
 		return func(v View) View {
-			return v.Answer(Statement{Limit: l, Sent: at(sent), Heard: at(heard), Seen: v.Group.Index})
+			return v.ApplyStatement(Statement{Limit: l, Sent: at(sent), Received: at(heard), Seen: v.Group.Index})
 		}
 	}
 	told := func(l Limit, index uint64, when float64) step {
-		return func(v View) View { return v.Told(Known{Limit: l, Index: index}, at(when)) }
+		return func(v View) View { return v.ApplyGroup(Known{Limit: l, Index: index}, at(when)) }
 	}
 	for _, tt := range []struct {
 		name  string
@@ -85,8 +85,8 @@
 				v = s(v)
 			}
 			c := qt.New(t)
-			c.Assert(v.Belief.Limit, qt.Equals, tt.want)
-			c.Assert(v.StateDue(v.GroupAt, time.Minute), qt.Equals, tt.due)
+			c.Assert(v.Current.Limit, qt.Equals, tt.want)
+			c.Assert(v.ReportDue(v.GroupAt, time.Minute), qt.Equals, tt.due)
 		})
 	}
 }
@@ -95,11 +95,11 @@
 func TestStatedAgain(t *testing.T) {
 	c := qt.New(t)
 	var v View
-	v = v.Told(Known{Limit: rate(3), Index: 1}, at(0))
-	c.Assert(v.StateDue(at(20), 20*time.Second), qt.IsFalse)
-	c.Assert(v.StateDue(at(21), 20*time.Second), qt.IsTrue)
-	v = v.Told(Known{Limit: none, Index: 2}, at(30))
-	c.Assert(v.StateDue(at(90), 20*time.Second), qt.IsFalse)
+	v = v.ApplyGroup(Known{Limit: rate(3), Index: 1}, at(0))
+	c.Assert(v.ReportDue(at(20), 20*time.Second), qt.IsFalse)
+	c.Assert(v.ReportDue(at(21), 20*time.Second), qt.IsTrue)
+	v = v.ApplyGroup(Known{Limit: none, Index: 2}, at(30))
+	c.Assert(v.ReportDue(at(90), 20*time.Second), qt.IsFalse)
 }
 
 // What the group takes.
--- a/node/metrics/relay.go
+++ b/node/metrics/relay.go
@@ -180,8 +180,8 @@
 		e = e.Str("source", "group")
 	}
 	e = e.Bool("limited", after.Limited).Float64("rate", after.Rate).Bool("was_limited", before.Limited).Float64("was_rate", before.Rate)
-	if !before.Heard.IsZero() {
-		e = e.Dur("was_age", after.Heard.Sub(before.Heard))
+	if !before.Received.IsZero() {
+		e = e.Dur("was_age", after.Received.Sub(before.Received))
 	}
 	e.Send()
 }
@@ -190,7 +190,7 @@
 func (m *Relay) LimitedSend(r *relay.Request, t *relay.Target, limit targetlimit.Statement, v relay.RetryVerdict) {
 	m.limited.WithLabelValues(strconv.FormatBool(v.OK), string(v.Reason)).Inc()
 	e := target(request(events.LimitedSend.Log(m.log), r), "target", t)
-	e.Bool("granted", v.OK).Str("reason", string(v.Reason)).Float64("rate", limit.Rate).Dur("age", time.Since(limit.Heard)).
+	e.Bool("granted", v.OK).Str("reason", string(v.Reason)).Float64("rate", limit.Rate).Dur("age", time.Since(limit.Received)).
 		Int("used", v.Used).Dur("next", v.RetryAfter).Dur("took", v.Took).Send()
 }
 
--- a/node/relay/limit.go
+++ b/node/relay/limit.go
@@ -60,7 +60,7 @@
 func (l *LimitReports) tell(t *Target) (told targetlimit.Limit, ok bool) {
 	var err error
 	for range stateTries {
-		b := t.view().Belief
+		b := t.view().Current
 		ctx, cancel := context.WithTimeout(context.Background(), stateWithin)
 		var known state.TargetLimit
 		known, err = l.to.StateLimit(ctx, statement(t, b))
@@ -93,7 +93,7 @@
 }
 
 // limit is what this entry goes by.
-func (t *Target) limit() targetlimit.Limit { return t.view().Belief.Limit }
+func (t *Target) limit() targetlimit.Limit { return t.view().Current.Limit }
 
 // learn changes the view. It gives what this entry went by before, and goes by now.
 func (t *Target) learn(change func(targetlimit.View) targetlimit.View) (before, after targetlimit.Statement) {
@@ -107,7 +107,7 @@
 		if !t.limited.CompareAndSwap(held, &next) {
 			continue
 		}
-		before, after = view.Belief, next.Belief
+		before, after = view.Current, next.Current
 		if before.Stricter(after.Limit) {
 			t.heldBackTill.Store(0) // what the group refused was by the stricter limit
 		}
@@ -117,13 +117,13 @@
 
 // heard takes an answer of the target.
 func (t *Target) heard(s targetlimit.Statement) (before, after targetlimit.Statement) {
-	return t.learn(func(v targetlimit.View) targetlimit.View { return v.Answer(s) })
+	return t.learn(func(v targetlimit.View) targetlimit.View { return v.ApplyStatement(s) })
 }
 
 // told takes what the group goes by.
 func (t *Target) told(known state.TargetLimit) (before, after targetlimit.Statement) {
 	now := time.Now()
-	return t.learn(func(v targetlimit.View) targetlimit.View { return v.Told(known.Known(), now) })
+	return t.learn(func(v targetlimit.View) targetlimit.View { return v.ApplyGroup(known.Known(), now) })
 }
 
 // learnLimit takes what a target's answer says of its limit. An answer that can't be read
@@ -142,13 +142,13 @@
 	}
 	now := time.Now()
 	before, after := t.heard(targetlimit.Statement{
-		Limit: targetlimit.Limit{Limited: reply.Limited, Rate: reply.Limit}, Sent: began.at, Heard: now, Seen: began.seen,
+		Limit: targetlimit.Limit{Limited: reply.Limited, Rate: reply.Limit}, Sent: began.at, Received: now, Seen: began.seen,
 	})
 	changed := before.Limit != after.Limit
 	if changed {
 		r.obs.LimitChanged(req, t, before, after)
 	}
-	if changed || t.view().StateDue(now, state.LimitStatedEvery) {
+	if changed || t.view().ReportDue(now, state.LimitStatedEvery) {
 		r.limitReports.state(t)
 	}
 }
--- a/node/relay/limit_test.go
+++ b/node/relay/limit_test.go
@@ -207,7 +207,7 @@
 // What an answer changes in what is believed of the target's limit.
 func TestLimitIsLearned(t *testing.T) {
 	limit := targetlimit.Limit{Limited: true, Rate: testRate}
-	believed := targetlimit.Statement{Limit: limit, Sent: time.Now().Add(-2 * time.Second), Heard: time.Now().Add(-time.Second)}
+	believed := targetlimit.Statement{Limit: limit, Sent: time.Now().Add(-2 * time.Second), Received: time.Now().Add(-time.Second)}
 	for _, tt := range []struct {
 		name  string
 		reply Reply
@@ -262,7 +262,7 @@
 // the two requests that it gets all the same.
 func (s *stage) grantsOthersAll() {
 	target := s.targets.Of(service)[0]
-	target.heard(targetlimit.Statement{Limit: targetlimit.Limit{Limited: true}, Sent: time.Now(), Heard: time.Now()})
+	target.heard(targetlimit.Statement{Limit: targetlimit.Limit{Limited: true}, Sent: time.Now(), Received: time.Now()})
 	for i := range 2 {
 		ask := retrybudget.Ask{ID: strconv.Itoa(i), Service: service, Target: target.Target, Purpose: retrybudget.PurposeLimited}
 		answer, err := s.group.Retry(context.Background(), ask)
--- a/node/relay/permit.go
+++ b/node/relay/permit.go
@@ -59,7 +59,7 @@
 // withinLimit takes the grant for a request to a target that names a limit.
 func (r *Relay) withinLimit(ctx context.Context, req *Request, p *permit) bool {
 	t := p.target
-	limit := t.view().Belief
+	limit := t.view().Current
 	if !limit.Limited {
 		return true
 	}
@@ -67,7 +67,7 @@
 	if v.OK {
 		p.grants = append(p.grants, grant)
 	} else if ctx.Err() == nil {
-		t.passOverFor(targetlimit.AskAgain(limit.Rate, r.targets.Entries(), v.RetryAfter, rand.Float64()))
+		t.passOverFor(targetlimit.RetryDelay(limit.Rate, r.targets.Entries(), v.RetryAfter, rand.Float64()))
 	}
 	r.obs.LimitedSend(req, t, limit, v)
 	return v.OK
