--- a/core/api/error.go
+++ b/core/api/error.go
@@ -10,7 +10,7 @@
 // Step names the stage of a request or of an operation at which an error arose.
 type Step string
 
-// The steps of a request, then those of control.
+// The steps of requests, links and control operations.
 const (
 	StepParse     Step = "parse"
 	StepAuth      Step = "auth"
@@ -33,13 +33,14 @@
 	StepRetry     Step = "retry"
 
 	StepEvacuation Step = "evacuation"
-	// StepTargetLimit tells the control group what a target says of its limit.
+	// StepTargetLimit is the step at which the control group is told the limit
+	// that a target states.
 	StepTargetLimit Step = "target_limit"
 )
 
-// Error is the project's error: where it arose (Step, Peer), what the caller is
-// told (Outcome, Reason) and when asking again makes sense (RetryAfter, zero
-// when unknown). Err is the cause and may be nil.
+// Error is the error type of this project. It holds where the error arose (Step,
+// Peer), what the caller is told (Outcome, Reason) and how long to wait before a
+// retry (RetryAfter, zero when unknown). Err is the cause and may be nil.
 type Error struct {
 	Step       Step
 	Peer       string
@@ -49,7 +50,8 @@
 	Err        error
 }
 
-// Error gives "step peer: reason: cause".
+// Error formats the error as "step peer: reason (retry after Ns): cause". It
+// leaves out the peer, the delay and the cause when they are not set.
 func (e *Error) Error() string {
 	var b strings.Builder
 	b.WriteString(string(e.Step))
@@ -66,17 +68,18 @@
 	return b.String()
 }
 
-// Unwrap gives the cause.
+// Unwrap returns the cause.
 func (e *Error) Unwrap() error { return e.Err }
 
-// NotRun builds an error that proves the request did not run.
+// NotRun returns an error with OutcomeNotRun, which asserts that the request did
+// not run and never will.
 func NotRun(step Step, peer string, reason Reason, err error) *Error {
 	return &Error{Step: step, Peer: peer, Outcome: OutcomeNotRun, Reason: reason, Err: err}
 }
 
-// AsError finds the project's error in err's chain. An error of another kind
-// becomes an unknown outcome with ReasonInternal: nothing proves that the
-// request did not run.
+// AsError returns the first *Error in err's chain. It wraps any other error with
+// OutcomeUnknown and ReasonInternal, since nothing proves that the request did
+// not run.
 func AsError(err error) *Error {
 	var e *Error
 	if errors.As(err, &e) {
--- a/core/api/error_test.go
+++ b/core/api/error_test.go
@@ -9,8 +9,8 @@
 	qt "github.com/frankban/quicktest"
 )
 
-// A foreign error proves nothing about the request, so the caller must not be
-// told that it did not run.
+// An error from outside this project does not prove that the request did not
+// run, so the caller must not be told so.
 func TestAsErrorOfForeignErrorIsUnknown(t *testing.T) {
 	c := qt.New(t)
 	e := AsError(io.ErrUnexpectedEOF)
--- a/core/api/imports_test.go
+++ b/core/api/imports_test.go
@@ -12,9 +12,9 @@
 	qt "github.com/frankban/quicktest"
 )
 
-// The decisions must stay free of sockets, files and processes: a package of
-// core that imports an adapter, or the means to open one, can no longer be driven
-// in virtual time.
+// The packages of core must not use sockets, files or processes: a package that
+// imports an adapter, or a standard package that gives access to them, can no longer
+// be tested in virtual time.
 func TestCoreImportsNoAdapter(t *testing.T) {
 	c := qt.New(t)
 	forbidden := []string{"almondseam.dev/node", "almondseam.dev/cmd", "net", "os", "os/exec", "os/signal", "syscall"}
--- a/core/api/outcome.go
+++ b/core/api/outcome.go
@@ -5,14 +5,15 @@
 type Outcome string
 
 const (
-	// OutcomeCompleted: the whole answer was delivered.
+	// OutcomeCompleted means that the whole answer was delivered.
 	OutcomeCompleted Outcome = "completed"
-	// OutcomeNotRun: it is proved that the request did not run and never will.
+	// OutcomeNotRun means that the request provably did not run and never will.
 	OutcomeNotRun Outcome = "not_run"
-	// OutcomeInterrupted: it ran, part of the answer may have been delivered,
-	// and the rest will not come.
+	// OutcomeInterrupted means that the request ran, that part of the answer may
+	// have been delivered, and that the rest will not follow.
 	OutcomeInterrupted Outcome = "interrupted"
-	// OutcomeUnknown: it may or may not have run; nothing proves either.
+	// OutcomeUnknown means that the request may or may not have run; nothing proves
+	// either.
 	OutcomeUnknown Outcome = "unknown"
 )
 
@@ -21,7 +22,7 @@
 // docs/OPERATIONS.md.
 type Reason string
 
-// The reasons, in the order in which a request meets them.
+// The reasons, roughly in the order in which a request can encounter them.
 const (
 	ReasonBadRequest         Reason = "bad_request"
 	ReasonUnauthenticated    Reason = "unauthenticated"
@@ -65,13 +66,14 @@
 	ReasonInternal           Reason = "internal"
 )
 
-// ReasonInfo gives what a caller-facing adapter needs to know of a reason.
+// ReasonInfo holds what an adapter needs in order to report a reason to a caller.
 type ReasonInfo struct {
-	// Status is the HTTP status when no byte of an answer has been sent.
+	// Status is the HTTP status of the response if no part of an answer has been
+	// sent yet.
 	Status int
 	// Type is the error type of the OpenAI error object.
 	Type string
-	// Retry tells whether asking again later can help.
+	// Retry reports whether the request can succeed if it is sent again later.
 	Retry bool
 }
 
@@ -84,7 +86,7 @@
 	typeOverloaded = "overloaded_error"
 )
 
-// Reasons is the catalogue of reasons. It is read only after start.
+// Reasons holds the details of every reason. It must not be modified.
 var Reasons = map[Reason]ReasonInfo{
 	ReasonBadRequest:         {400, typeInvalid, false},
 	ReasonUnauthenticated:    {401, typeAuth, false},
