--- a/core/api/outcome.go
+++ b/core/api/outcome.go
@@ -52,7 +52,7 @@
 	ReasonEngineRefused      Reason = "engine_refused"
 	ReasonEngineDied         Reason = "engine_died"
 	ReasonEngineTruncated    Reason = "engine_truncated"
-	ReasonReplayPassed       Reason = "replay_window_passed"
+	ReasonReplayWindowPassed Reason = "replay_window_passed"
 	ReasonIntegrity          Reason = "integrity"
 	ReasonCancelled          Reason = "cancelled"
 	ReasonSlowCaller         Reason = "slow_caller"
@@ -116,7 +116,7 @@
 	ReasonEngineRefused:      {502, typeServer, false},
 	ReasonEngineDied:         {502, typeServer, true},
 	ReasonEngineTruncated:    {502, typeServer, true},
-	ReasonReplayPassed:       {410, typeInvalid, false},
+	ReasonReplayWindowPassed: {410, typeInvalid, false},
 	ReasonIntegrity:          {502, typeServer, true},
 	ReasonCancelled:          {499, typeInvalid, false},
 	ReasonSlowCaller:         {408, typeInvalid, false},
--- a/node/agent/agent_test.go
+++ b/node/agent/agent_test.go
@@ -264,7 +264,7 @@
 		heard[*wire.Data](b.link)
 		b.say(&wire.Ack{Key: key("r1"), Offset: 6})
 		b.say(&wire.Resume{Key: key("r1"), Customer: "c1"})
-		b.c.Assert(one[*wire.Returned](b.c, b.link).Reason, qt.Equals, api.ReasonReplayPassed)
+		b.c.Assert(one[*wire.Returned](b.c, b.link).Reason, qt.Equals, api.ReasonReplayWindowPassed)
 		b.say(&wire.Resume{Key: key("r1"), Customer: "c1", Offset: 7})
 		b.c.Assert(one[*wire.Returned](b.c, b.link).Reason, qt.Equals, api.ReasonIntegrity)
 		b.say(&wire.Resume{Key: key("r1"), Customer: "c1", Offset: 5})
--- a/node/agent/handle.go
+++ b/node/agent/handle.go
@@ -231,7 +231,7 @@
 	}
 	err := s.attach(from, m.Offset, m.Key.Attempt == 0)
 	if errors.Is(err, stream.ErrPassed) {
-		_ = from.Send(&wire.Returned{Key: m.Key, Reason: api.ReasonReplayPassed})
+		_ = from.Send(&wire.Returned{Key: m.Key, Reason: api.ReasonReplayWindowPassed})
 		return
 	}
 	if err != nil {
--- a/node/agent/settings_test.go
+++ b/node/agent/settings_test.go
@@ -76,7 +76,7 @@
 		publish(b.c, live, 2, "limits: {replay_bytes: 4KiB}")
 		b.pass(time.Second)
 		answer("tight", 1)
-		b.c.Assert(resume("tight"), qt.Equals, api.ReasonReplayPassed)
+		b.c.Assert(resume("tight"), qt.Equals, api.ReasonReplayWindowPassed)
 
 		publish(b.c, live, 3, "limits: {replay_time: 5s}")
 		b.pass(10 * time.Second)
