--- a/core/membership/membership_test.go
+++ b/core/membership/membership_test.go
@@ -14,8 +14,8 @@
 
 var begin = time.Unix(1000, 0)
 
-func seen(inc api.Incarnation, leaving bool) []Seen {
-	return []Seen{{Target: "t", Incarnation: inc, Zone: "lhr-a", Leaving: leaving}}
+func seen(inc api.Incarnation, leaving bool) []Observation {
+	return []Observation{{Target: "t", Incarnation: inc, Zone: "lhr-a", Leaving: leaving}}
 }
 
 // Each case is a course of reports and what the fleet believes at its end.
@@ -60,7 +60,7 @@
 	l := DefaultLimits()
 	l.MaxTargets = 1
 	v := NewView(l)
-	v.Report(begin, "a", []Seen{{Target: "t1"}, {Target: "t2"}})
+	v.Report(begin, "a", []Observation{{Target: "t1"}, {Target: "t2"}})
 	c.Assert(v.Targets(begin), qt.HasLen, 1)
 	c.Assert(v.Targets(begin.Add(l.Forget+1)), qt.HasLen, 0)
 }
--- a/core/membership/view.go
+++ b/core/membership/view.go
@@ -28,8 +28,8 @@
 // String gives the state in lower case.
 func (s State) String() string { return stateNames[s] }
 
-// Seen is one target as one entry sees it: the entry has a live link to it.
-type Seen struct {
+// Observation is one target as one entry sees it: the entry has a live link to it.
+type Observation struct {
 	Target      api.TargetID
 	Incarnation api.Incarnation
 	Zone        api.Zone
@@ -38,7 +38,7 @@
 
 // Status is one target as the fleet sees it.
 type Status struct {
-	Seen
+	Observation
 	State    State
 	LastSeen time.Time
 	// Entries is how many entries hold a live link to it.
@@ -72,7 +72,7 @@
 }
 
 type target struct {
-	Seen
+	Observation
 	last    time.Time
 	entries map[api.InstanceID]time.Time
 }
@@ -83,14 +83,14 @@
 }
 
 // Report takes in all targets that one entry has live links to at now.
-func (v *View) Report(now time.Time, entry api.InstanceID, seen []Seen) {
+func (v *View) Report(now time.Time, entry api.InstanceID, seen []Observation) {
 	for _, s := range seen {
 		t := v.targets[s.Target]
 		if t == nil {
 			if len(v.targets) >= v.limits.MaxTargets {
 				continue
 			}
-			t = &target{Seen: s, entries: make(map[api.InstanceID]time.Time)}
+			t = &target{Observation: s, entries: make(map[api.InstanceID]time.Time)}
 			v.targets[s.Target] = t
 		}
 		t.take(now, entry, s)
@@ -100,12 +100,12 @@
 // take merges one sighting. An earlier incarnation's is out of date: its link
 // just hasn't been noticed to be dead. Within one incarnation leaving is final,
 // so that an entry which hasn't heard of it yet can't take it back.
-func (t *target) take(now time.Time, entry api.InstanceID, s Seen) {
+func (t *target) take(now time.Time, entry api.InstanceID, s Observation) {
 	if s.Incarnation < t.Incarnation {
 		return
 	}
 	if s.Incarnation > t.Incarnation {
-		t.Seen = s
+		t.Observation = s
 		clear(t.entries)
 	}
 	t.Leaving = t.Leaving || s.Leaving
@@ -133,7 +133,7 @@
 			delete(t.entries, entry)
 		}
 	}
-	s := Status{Seen: t.Seen, State: Up, LastSeen: t.last, Entries: len(t.entries)}
+	s := Status{Observation: t.Observation, State: Up, LastSeen: t.last, Entries: len(t.entries)}
 	switch {
 	case t.Leaving:
 		s.State = Leaving
--- a/node/control/reports.go
+++ b/node/control/reports.go
@@ -54,9 +54,9 @@
 		rep.SameTargets = false
 	}
 	r.instances[rep.Instance] = heard{rep, now}
-	seen := make([]membership.Seen, len(rep.Targets))
+	seen := make([]membership.Observation, len(rep.Targets))
 	for i, t := range rep.Targets {
-		seen[i] = membership.Seen{Target: t.Target, Incarnation: t.Incarnation, Zone: t.Zone, Leaving: t.Leaving}
+		seen[i] = membership.Observation{Target: t.Target, Incarnation: t.Incarnation, Zone: t.Zone, Leaving: t.Leaving}
 	}
 	r.targets.Report(now, rep.Instance, seen)
 }
