--- a/core/membership/subset.go
+++ b/core/membership/subset.go
@@ -73,8 +73,8 @@
 	return out
 }
 
-// Move is one link to open or to close, After the plan was made.
-type Move struct {
+// LinkChange is one link to open or to close, After the plan was made.
+type LinkChange struct {
 	Entry Entry
 	Open  bool
 	After time.Duration
@@ -85,19 +85,19 @@
 // Every agent that ranks a new entry high would dial it at the same moment, so the opens are
 // spread over the given time at random. A link is closed only after all opens are due, so that
 // no agent has fewer links in between than before.
-func Plan(held, wanted []Entry, spread time.Duration, r *rand.Rand) []Move {
-	var moves []Move
+func Plan(held, wanted []Entry, spread time.Duration, r *rand.Rand) []LinkChange {
+	var moves []LinkChange
 	for _, e := range wanted {
 		if !slices.Contains(held, e) {
-			moves = append(moves, Move{e, true, jitter(spread, r)})
+			moves = append(moves, LinkChange{e, true, jitter(spread, r)})
 		}
 	}
 	for _, e := range held {
 		if !slices.Contains(wanted, e) {
-			moves = append(moves, Move{e, false, spread + jitter(spread, r)})
+			moves = append(moves, LinkChange{e, false, spread + jitter(spread, r)})
 		}
 	}
-	slices.SortFunc(moves, func(a, b Move) int { return cmp.Compare(a.After, b.After) })
+	slices.SortFunc(moves, func(a, b LinkChange) int { return cmp.Compare(a.After, b.After) })
 	return moves
 }
 
--- a/node/process/links.go
+++ b/node/process/links.go
@@ -157,7 +157,7 @@
 }
 
 // move carries out one move when it is due.
-func (k *linkKeeper) move(ctx context.Context, m membership.Move, addr string) {
+func (k *linkKeeper) move(ctx context.Context, m membership.LinkChange, addr string) {
 	k.work.Go(func() {
 		select {
 		case <-ctx.Done():
