--- a/core/regroup/regroup.go
+++ b/core/regroup/regroup.go
@@ -27,20 +27,20 @@
 	return Limits{Silence: 3 * time.Second, LearnerSilence: 20 * time.Second, MaxLag: 32}
 }
 
-// Keeper remembers since when each member has been silent. It belongs to one
+// Planner remembers since when each member has been silent. It belongs to one
 // leader's office. Not safe for concurrent use.
-type Keeper struct {
+type Planner struct {
 	limits Limits
 	silent map[consensus.MemberID]time.Time
 }
 
-// NewKeeper begins an office.
-func NewKeeper(l Limits) *Keeper {
-	return &Keeper{limits: l, silent: make(map[consensus.MemberID]time.Time)}
+// NewPlanner begins an office.
+func NewPlanner(l Limits) *Planner {
+	return &Planner{limits: l, silent: make(map[consensus.MemberID]time.Time)}
 }
 
 // Plan gives the one change to make now, nil for none. st is the leader's status.
-func (k *Keeper) Plan(st *consensus.Status, now time.Time) *consensus.Change {
+func (k *Planner) Plan(st *consensus.Status, now time.Time) *consensus.Change {
 	if st.Role != consensus.RoleLeader || st.ChangePending {
 		return nil
 	}
@@ -51,7 +51,7 @@
 	return k.remove(st, now)
 }
 
-func (k *Keeper) observe(st *consensus.Status, now time.Time) {
+func (k *Planner) observe(st *consensus.Status, now time.Time) {
 	for _, p := range st.Members {
 		if p.Active {
 			delete(k.silent, p.ID)
@@ -61,7 +61,7 @@
 	}
 }
 
-func (k *Keeper) promote(st *consensus.Status) *consensus.Change {
+func (k *Planner) promote(st *consensus.Status) *consensus.Change {
 	for _, p := range st.Members {
 		if !p.Voter && p.Active && !p.SendingSnapshot && p.Lag <= k.limits.MaxLag {
 			return &consensus.Change{Type: consensus.ChangePromote, ID: p.ID}
@@ -76,7 +76,7 @@
 // removed only when that leaves no fewer voters than its replacement made up for: when another
 // active voter has its address, or when the number of voters is even. The others must all
 // answer, so a partition never shrinks a group.
-func (k *Keeper) remove(st *consensus.Status, now time.Time) *consensus.Change {
+func (k *Planner) remove(st *consensus.Status, now time.Time) *consensus.Change {
 	for _, p := range st.Members {
 		if !p.Voter && k.silentFor(p.ID, now) > k.limits.LearnerSilence {
 			return removal(p.ID)
@@ -108,7 +108,7 @@
 
 // replaced tells whether an active voter has the lost one's address: its folder
 // was lost, for the machine runs again under another identity.
-func (k *Keeper) replaced(st *consensus.Status, lost consensus.Progress) bool {
+func (k *Planner) replaced(st *consensus.Status, lost consensus.Progress) bool {
 	for _, p := range st.Members {
 		if p.Voter && p.Active && p.ID != lost.ID && p.Addr == lost.Addr {
 			return true
@@ -117,7 +117,7 @@
 	return false
 }
 
-func (k *Keeper) silentFor(id consensus.MemberID, now time.Time) time.Duration {
+func (k *Planner) silentFor(id consensus.MemberID, now time.Time) time.Duration {
 	since, ok := k.silent[id]
 	if !ok {
 		return 0
--- a/core/regroup/regroup_test.go
+++ b/core/regroup/regroup_test.go
@@ -51,7 +51,7 @@
 	} {
 		t.Run(tt.name, func(t *testing.T) {
 			c := qt.New(t)
-			k := NewKeeper(DefaultLimits())
+			k := NewPlanner(DefaultLimits())
 			start := time.Unix(0, 0)
 			k.observe(tt.st, start)
 			c.Assert(k.Plan(tt.st, start.Add(tt.silent)), qt.DeepEquals, tt.want)
--- a/node/control/member.go
+++ b/node/control/member.go
@@ -83,7 +83,7 @@
 	frozen      chan frozen
 	encoding    conc.WaitGroup
 	members     consensus.Membership
-	keeper      *regroup.Keeper // of this office; nil when not leading
+	keeper      *regroup.Planner // of this office; nil when not leading
 
 	// mu guards the state between Apply and its readers.
 	mu      sync.RWMutex
@@ -252,7 +252,7 @@
 // than the next try: the agreement refuses what would cost the majority.
 func (m *Member) mend() {
 	if m.keeper == nil {
-		m.keeper = regroup.NewKeeper(regroup.DefaultLimits())
+		m.keeper = regroup.NewPlanner(regroup.DefaultLimits())
 	}
 	st := m.node.Status()
 	change := m.keeper.Plan(&st, time.Now())
