--- a/core/membership/membership_test.go
+++ b/core/membership/membership_test.go
@@ -14,11 +14,11 @@
 
 var begin = time.Unix(1000, 0)
 
-func seen(inc api.Incarnation, leaving bool) []Observation {
+func observed(inc api.Incarnation, leaving bool) []Observation {
 	return []Observation{{Target: "t", Incarnation: inc, Zone: "lhr-a", Leaving: leaving}}
 }
 
-// Each case is a course of reports and what the fleet believes at its end.
+// Each case is a sequence of reports and the target's state after them.
 func TestTargetState(t *testing.T) {
 	lease := DefaultLimits().Lease
 	type report struct {
@@ -33,20 +33,20 @@
 		at      time.Duration
 		want    State
 	}{
-		{"seen lately", []report{{"a", 0, 1, false}}, lease, Up},
-		{"one entry's link stalled, another's works", []report{{"a", 0, 1, false}, {"b", lease, 1, false}}, lease + time.Second, Up},
-		{"nobody sees it", []report{{"a", 0, 1, false}, {"b", 0, 1, false}}, lease + 1, Suspect},
-		{"back after suspicion", []report{{"a", 0, 1, false}, {"a", 2 * lease, 1, false}}, 2 * lease, Up},
+		{"reported within the lease", []report{{"a", 0, 1, false}}, lease, Up},
+		{"one entry's link is stalled and another's works", []report{{"a", 0, 1, false}, {"b", lease, 1, false}}, lease + time.Second, Up},
+		{"no entry reports it", []report{{"a", 0, 1, false}, {"b", 0, 1, false}}, lease + 1, Suspect},
+		{"reported again after suspicion", []report{{"a", 0, 1, false}, {"a", 2 * lease, 1, false}}, 2 * lease, Up},
 		{"leaving", []report{{"a", 0, 1, true}}, 0, Leaving},
-		{"leaving isn't taken back by an entry that hasn't heard", []report{{"a", 0, 1, true}, {"b", 1, 1, false}}, 1, Leaving},
+		{"leaving is kept when an entry has not learned of it", []report{{"a", 0, 1, true}, {"b", 1, 1, false}}, 1, Leaving},
 		{"restarted after leaving", []report{{"a", 0, 1, true}, {"b", 1, 2, false}}, 1, Up},
-		{"a dead incarnation's late report", []report{{"a", 0, 2, false}, {"b", 1, 1, true}}, 1, Up},
+		{"late report of an earlier incarnation", []report{{"a", 0, 2, false}, {"b", 1, 1, true}}, 1, Up},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			c := qt.New(t)
 			v := NewView(DefaultLimits())
 			for _, r := range tc.reports {
-				v.Report(begin.Add(r.at), r.entry, seen(r.inc, r.leaving))
+				v.Report(begin.Add(r.at), r.entry, observed(r.inc, r.leaving))
 			}
 			got := v.Targets(begin.Add(tc.at))
 			c.Assert(got, qt.HasLen, 1)
@@ -73,17 +73,18 @@
 	return out
 }
 
-// At the two-year size: 7,400 agents choose 3 of 320 entries. No entry carries
-// more than half as much again as the mean, every agent has a link inside and
-// one outside its zone, and an entry that goes moves only its own links.
+// Checks the size expected in two years: 7,400 agents choose 3 of about 320
+// entries. Every entry has fewer than 1.5 times the mean number of links, every
+// agent has a link inside and one outside its availability zone, and an entry that
+// leaves changes the subsets of only those agents that were linked to it.
 func TestSubsetSpreadsAndStays(t *testing.T) {
 	c := qt.New(t)
 	const agents, n = 7400, 3
 	entries := entriesIn(9, 36)
 	load := map[api.InstanceID]int{}
 	gone := entries[17]
-	left := slices.DeleteFunc(slices.Clone(entries), func(e Entry) bool { return e == gone })
-	moved, held := 0, 0
+	remaining := slices.DeleteFunc(slices.Clone(entries), func(e Entry) bool { return e == gone })
+	changed, linkedToGone := 0, 0
 	for i := range agents {
 		agent, zone := api.TargetID(fmt.Sprint("t", i)), api.Zone(fmt.Sprint("z", i%9))
 		got := Subset(agent, zone, entries, n)
@@ -96,21 +97,21 @@
 		if i%8 != 0 {
 			continue
 		}
-		after := Subset(agent, zone, left, n)
+		after := Subset(agent, zone, remaining, n)
 		if slices.Contains(got, gone) {
-			held++
+			linkedToGone++
 			continue
 		}
 		if !slices.Equal(got, after) {
-			moved++
+			changed++
 		}
 	}
 	mean := float64(agents*n) / float64(len(entries))
 	for _, l := range load {
 		c.Check(float64(l) < 1.5*mean, qt.IsTrue, qt.Commentf("%d links, mean %.0f", l, mean))
 	}
-	c.Assert(held > 0, qt.IsTrue)
-	c.Assert(moved, qt.Equals, 0)
+	c.Assert(linkedToGone > 0, qt.IsTrue)
+	c.Assert(changed, qt.Equals, 0)
 }
 
 func TestSubsetOfFewEntries(t *testing.T) {
@@ -124,11 +125,11 @@
 func TestPlanOpensBeforeItCloses(t *testing.T) {
 	c := qt.New(t)
 	e := entriesIn(2, 4)
-	moves := Plan(e[:3], e[2:5], time.Second, rand.New(rand.NewPCG(1, 1)))
-	c.Assert(moves, qt.HasLen, 4)
+	changes := Plan(e[:3], e[2:5], time.Second, rand.New(rand.NewPCG(1, 1)))
+	c.Assert(changes, qt.HasLen, 4)
 	links := 3
-	for _, m := range moves {
-		if m.Open {
+	for _, ch := range changes {
+		if ch.Open {
 			links++
 		} else {
 			links--
--- a/core/membership/subset.go
+++ b/core/membership/subset.go
@@ -10,20 +10,21 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Entry is one entry that an agent could link to.
+// Entry is one entry that an agent can link to.
 type Entry struct {
 	Instance api.InstanceID
 	Zone     api.Zone
 }
 
-// Subset chooses the n entries that an agent links to, by rendezvous hashing:
-// each agent ranks all entries by a hash of both names. Agents spread evenly
-// over entries without talking to each other, and an entry that comes or goes
-// moves only the links that it gains or held.
+// Subset returns the n entries that an agent links to, chosen by rendezvous
+// hashing: all entries are ranked by a hash of the agent's and the entry's name.
+// This spreads the agents evenly over the entries without coordination, and an
+// entry that joins or leaves changes only the links that it gains or loses.
 //
-// At least one entry is outside the agent's own availability zone if there is
-// one, and at least one inside: a zone that is lost, or cut off, then takes no
-// agent's last link with it. The answer is in the order of rank.
+// If n is at least 2, the subset has at least one entry inside the agent's own
+// availability zone and at least one outside, provided that there are such entries.
+// An agent then keeps a link when a zone is lost or cut off. The entries are in the
+// order of their rank.
 func Subset(agent api.TargetID, zone api.Zone, entries []Entry, n int) []Entry {
 	ranked := rank(agent, entries)
 	if n >= len(ranked) {
@@ -38,12 +39,14 @@
 	return chosen
 }
 
-// inZone gives the test of being inside, or outside, the zone.
+// inZone returns a predicate that reports whether an entry is inside the zone, or
+// outside it if inside is false.
 func inZone(zone api.Zone, inside bool) func(Entry) bool {
 	return func(e Entry) bool { return (e.Zone == zone) == inside }
 }
 
-// replaceLast puts the best of the rest that fits in the last chosen's place.
+// replaceLast returns chosen with its last entry replaced by the highest ranked
+// entry of rest that fits. It returns chosen unchanged if none fits.
 func replaceLast(chosen, rest []Entry, fits func(Entry) bool) []Entry {
 	i := slices.IndexFunc(rest, fits)
 	if i < 0 {
@@ -73,32 +76,34 @@
 	return out
 }
 
-// LinkChange is one link to open or to close, After the plan was made.
+// LinkChange is one link to open or to close once the time After has passed since the
+// plan was made.
 type LinkChange struct {
 	Entry Entry
 	Open  bool
 	After time.Duration
 }
 
-// Plan gives the moves from the links that are held to those that are wanted.
+// Plan returns the changes that lead from the current links to the wanted ones, in the order in
+// which they are due.
 //
-// Every agent that ranks a new entry high would dial it at the same moment, so the opens are
-// spread over the given time at random. A link is closed only after all opens are due, so that
-// no agent has fewer links in between than before.
-func Plan(held, wanted []Entry, spread time.Duration, r *rand.Rand) []LinkChange {
-	var moves []LinkChange
+// All agents that rank a new entry high would otherwise dial it at the same moment, so the links
+// are opened at random times within spread. Links are closed only after all opens are due, so that
+// no agent has fewer links during the change than before it.
+func Plan(current, wanted []Entry, spread time.Duration, r *rand.Rand) []LinkChange {
+	var changes []LinkChange
 	for _, e := range wanted {
-		if !slices.Contains(held, e) {
-			moves = append(moves, LinkChange{e, true, jitter(spread, r)})
+		if !slices.Contains(current, e) {
+			changes = append(changes, LinkChange{e, true, jitter(spread, r)})
 		}
 	}
-	for _, e := range held {
+	for _, e := range current {
 		if !slices.Contains(wanted, e) {
-			moves = append(moves, LinkChange{e, false, spread + jitter(spread, r)})
+			changes = append(changes, LinkChange{e, false, spread + jitter(spread, r)})
 		}
 	}
-	slices.SortFunc(moves, func(a, b LinkChange) int { return cmp.Compare(a.After, b.After) })
-	return moves
+	slices.SortFunc(changes, func(a, b LinkChange) int { return cmp.Compare(a.After, b.After) })
+	return changes
 }
 
 func jitter(spread time.Duration, r *rand.Rand) time.Duration {
--- a/core/membership/view.go
+++ b/core/membership/view.go
@@ -1,6 +1,7 @@
-// Package membership keeps track of the targets that announce themselves and
-// decides which entries each agent links to. It is pure and not safe for
-// concurrent use.
+// Package membership keeps track of the targets that entries report and decides
+// which entries each agent links to. An entry is an instance that accepts requests
+// from callers; an agent runs beside each target and keeps links to a few entries.
+// The package does no I/O and reads no clock. It is not safe for concurrent use.
 package membership
 
 import (
@@ -10,25 +11,26 @@
 	"almondseam.dev/core/api"
 )
 
-// State is what the fleet believes of a target.
+// State is the state of a target as concluded from the reports of all entries.
 type State uint8
 
-// The states. Only Up gets new work.
+// The states of a target, as operators are shown them.
 const (
-	// Up: at least one entry has heard from the target within the lease.
+	// Up means that at least one entry has reported the target within the lease.
 	Up State = iota + 1
-	// Leaving: the target said so. It does not come back in this incarnation.
+	// Leaving means that the target announced its departure. This is final for
+	// its incarnation.
 	Leaving
-	// Suspect: no entry has heard from it within the lease.
+	// Suspect means that no entry has reported the target within the lease.
 	Suspect
 )
 
 var stateNames = map[State]string{Up: "up", Leaving: "leaving", Suspect: "suspect"}
 
-// String gives the state in lower case.
+// String returns the name of the state in lower case.
 func (s State) String() string { return stateNames[s] }
 
-// Observation is one target as one entry sees it: the entry has a live link to it.
+// Observation is what one entry reports about one target that it has a live link to.
 type Observation struct {
 	Target      api.TargetID
 	Incarnation api.Incarnation
@@ -36,88 +38,92 @@
 	Leaving     bool
 }
 
-// Status is one target as the fleet sees it.
+// Status is the state of one target as concluded from the reports of all entries.
 type Status struct {
 	Observation
 	State    State
 	LastSeen time.Time
-	// Entries is how many entries hold a live link to it.
+	// Entries is the number of entries that reported a live link to the target
+	// within the lease.
 	Entries int
 }
 
-// Limits of a View.
+// Limits holds the time limits of a View and the limit of its size.
 type Limits struct {
-	// Lease is how long a target counts as up after an entry last told of it.
-	// It spans several reports, so that one lost or late report, or an entry
-	// that is itself being moved, costs nothing.
+	// Lease is how long a target counts as up after an entry last reported it.
+	// It spans several reports, so that one lost or late report, or an entry that
+	// is itself being moved, does not make the target suspect.
 	Lease time.Duration
-	// Forget is when a target that nobody sees is dropped from the list.
+	// Forget is how long a target that no entry reports stays in the View.
 	Forget time.Duration
-	// MaxTargets bounds the list.
+	// MaxTargets is the number of targets that the View holds at most; it ignores
+	// reports of further ones.
 	MaxTargets int
 }
 
-// DefaultLimits suit entries that report every two seconds.
+// DefaultLimits returns limits for entries that report every two seconds.
 func DefaultLimits() Limits {
 	return Limits{Lease: 10 * time.Second, Forget: 10 * time.Minute, MaxTargets: 20_000}
 }
 
-// View is the fleet's targets, gathered from the reports of entries.
+// View holds the targets of the fleet, gathered from the reports of all entries.
 //
-// A target is suspected only when every entry that knew it has lost it for a whole lease: a
-// single stalled link can't bring that about, since each agent keeps links to several entries.
+// A target becomes suspect only when none of the entries that reported it has done so for a whole
+// lease. A single stalled link cannot cause that, since each agent keeps links to several entries.
 type View struct {
 	limits  Limits
-	targets map[api.TargetID]*target
+	targets map[api.TargetID]*trackedTarget
 }
 
-type target struct {
+type trackedTarget struct {
 	Observation
-	last    time.Time
-	entries map[api.InstanceID]time.Time
+	lastSeen time.Time
+	entries  map[api.InstanceID]time.Time
 }
 
-// NewView gives an empty view.
+// NewView returns an empty view.
 func NewView(l Limits) *View {
-	return &View{limits: l, targets: make(map[api.TargetID]*target)}
+	return &View{limits: l, targets: make(map[api.TargetID]*trackedTarget)}
 }
 
-// Report takes in all targets that one entry has live links to at now.
-func (v *View) Report(now time.Time, entry api.InstanceID, seen []Observation) {
-	for _, s := range seen {
-		t := v.targets[s.Target]
+// Report records all targets that one entry has live links to at the time now.
+func (v *View) Report(now time.Time, entry api.InstanceID, observed []Observation) {
+	for _, o := range observed {
+		t := v.targets[o.Target]
 		if t == nil {
 			if len(v.targets) >= v.limits.MaxTargets {
 				continue
 			}
-			t = &target{Observation: s, entries: make(map[api.InstanceID]time.Time)}
-			v.targets[s.Target] = t
+			t = &trackedTarget{Observation: o, entries: make(map[api.InstanceID]time.Time)}
+			v.targets[o.Target] = t
 		}
-		t.take(now, entry, s)
+		t.merge(now, entry, o)
 	}
 }
 
-// take merges one sighting. An earlier incarnation's is out of date: its link
-// just hasn't been noticed to be dead. Within one incarnation leaving is final,
-// so that an entry which hasn't heard of it yet can't take it back.
-func (t *target) take(now time.Time, entry api.InstanceID, s Observation) {
-	if s.Incarnation < t.Incarnation {
+// merge applies one entry's observation. It ignores an earlier incarnation, which
+// an entry still reports until it notices that the old link is dead. Leaving is
+// final within one incarnation, so that an entry that has not learned of the
+// departure yet does not revoke it.
+func (t *trackedTarget) merge(now time.Time, entry api.InstanceID, o Observation) {
+	if o.Incarnation < t.Incarnation {
 		return
 	}
-	if s.Incarnation > t.Incarnation {
-		t.Observation = s
+	if o.Incarnation > t.Incarnation {
+		t.Observation = o
 		clear(t.entries)
 	}
-	t.Leaving = t.Leaving || s.Leaving
-	t.last = now
+	t.Leaving = t.Leaving || o.Leaving
+	t.lastSeen = now
 	t.entries[entry] = now
 }
 
-// Targets gives all targets by ID and drops those long out of sight.
+// Targets returns the status of all targets, sorted by ID, and first drops the
+// targets that no entry has reported for longer than Limits.Forget.
 func (v *View) Targets(now time.Time) []Status {
 	out := make([]Status, 0, len(v.targets))
 	for id, t := range v.targets {
-		if now.Sub(t.last) > v.limits.Forget {
+		if now.Sub(t.lastSeen) > v.limits.Forget {
 			delete(v.targets, id)
 			continue
 		}
@@ -127,13 +133,13 @@
 	return out
 }
 
-func (v *View) status(now time.Time, t *target) Status {
+func (v *View) status(now time.Time, t *trackedTarget) Status {
 	for entry, at := range t.entries {
 		if now.Sub(at) > v.limits.Lease {
 			delete(t.entries, entry)
 		}
 	}
-	s := Status{Observation: t.Observation, State: Up, LastSeen: t.last, Entries: len(t.entries)}
+	s := Status{Observation: t.Observation, State: Up, LastSeen: t.lastSeen, Entries: len(t.entries)}
 	switch {
 	case t.Leaving:
 		s.State = Leaving
