--- a/core/directory/bench_test.go
+++ b/core/directory/bench_test.go
@@ -8,7 +8,8 @@
 	"almondseam.dev/core/api"
 )
 
-// BenchmarkAnnounce is one announcement among so many targets. The figure is ns/op.
+// BenchmarkAnnounce measures one announcement, in ns/op, to a directory that holds the given
+// number of targets.
 func BenchmarkAnnounce(b *testing.B) {
 	for _, targets := range []int{300, 1000, 3000} {
 		b.Run(fmt.Sprint(targets), func(b *testing.B) {
--- a/core/directory/directory.go
+++ b/core/directory/directory.go
@@ -1,7 +1,8 @@
-// Package directory is the list of targets that announce themselves: who serves
-// what at which address, and who is leaving. Copies of it on different processes
-// merge in any order and come to the same list. It reads no clock: the caller
-// passes the time in. A Directory is not safe for concurrent use.
+// Package directory keeps the list of targets that announce themselves: which
+// service each of them serves, at which address, and whether it is leaving.
+// Processes merge each other's records; which of two records of a target wins does
+// not depend on the order in which they arrive. The package reads no clock: the
+// caller passes in the time. A Directory is not safe for concurrent use.
 package directory
 
 import (
@@ -11,12 +12,13 @@
 	"almondseam.dev/core/api"
 )
 
-// State is what a target last said, or what was concluded of it.
+// State is the state that a target last announced, or that a process concluded for
+// it.
 type State uint8
 
-// The states, in the order in which a run of a target goes through them.
-// Missing is concluded by the process that a target reported to and that has
-// not heard of it since; a later announcement takes it back.
+// The states, in the order in which one run of a target passes through them. The
+// process that a target announces itself to sets StateMissing when the
+// announcements stop; a later announcement replaces it.
 const (
 	StateReady State = iota + 1
 	StateMissing
@@ -24,7 +26,7 @@
 	StateGone
 )
 
-// String gives the state as logs print it.
+// String returns the name of the state as it appears in logs.
 func (s State) String() string {
 	switch s {
 	case StateReady:
@@ -39,57 +41,62 @@
 	return "unknown"
 }
 
-// Record is what is known of one run of one target.
+// Record is what is known about one run of one target.
 type Record struct {
 	Target  api.TargetID  `cbor:"1,keyasint"`
 	Service api.ServiceID `cbor:"2,keyasint,omitempty"`
 	// Address is HOST:PORT.
 	Address string   `cbor:"3,keyasint,omitempty"`
 	Zone    api.Zone `cbor:"4,keyasint,omitempty"`
-	// Slots is how many requests the target runs at once.
+	// Slots is the number of requests that the target runs concurrently.
 	Slots int `cbor:"5,keyasint,omitempty"`
-	// Born is when this run began, Unix milliseconds by the target's own clock,
-	// zero if it does not say. It tells two runs under one name apart.
+	// Born is the start of this run in Unix milliseconds by the target's own clock,
+	// or zero if the target does not state it. It distinguishes two runs under the
+	// same name.
 	Born int64 `cbor:"6,keyasint,omitempty"`
-	// Sequence rises with each announcement of one run.
+	// Sequence increases with each announcement of one run.
 	Sequence uint64 `cbor:"7,keyasint,omitempty"`
 	State    State  `cbor:"8,keyasint"`
-	// Cold is how long the target stays cold, counted from when the record arrived here.
+	// Cold is how much longer the target stays cold, that is, bears only a reduced rate of
+	// requests. It counts from the arrival of the record at this process.
 	Cold time.Duration `cbor:"9,keyasint,omitempty"`
 }
 
-// tombstoneLife is how long a target that is gone is remembered. A delayed
-// announcement would otherwise bring it back; reports come seconds late, so a
-// minute is ample.
-const tombstoneLife = time.Minute
+// tombstoneTTL is how long a target that is gone is remembered, so that a delayed
+// announcement does not list it again. Reports are delayed by seconds, so a minute
+// is ample.
+const tombstoneTTL = time.Minute
 
-// entry is a record and when it last changed or was heard of here.
-type entry struct {
+// trackedTarget is the record of one target with the state that this process keeps
+// about it.
+type trackedTarget struct {
 	record Record
-	heard  time.Time
-	// coldTill is until when the target is cold.
-	coldTill time.Time
-	// own is set while the target reports to this process.
+	// lastHeard is when the target last announced itself to this process, or its
+	// record was last stored or marked as gone.
+	lastHeard time.Time
+	// coldUntil is the time at which the target stops being cold.
+	coldUntil time.Time
+	// own is set while the target announces itself to this process.
 	own bool
 }
 
-// Directory is one process's copy of the list.
+// Directory is the copy of the list that one process holds.
 type Directory struct {
-	targets map[api.TargetID]*entry
-	// byAddress are the targets that are not gone at each address.
+	targets map[api.TargetID]*trackedTarget
+	// byAddress lists the targets at each address, without those that are gone.
 	byAddress map[string][]api.TargetID
 }
 
-// New gives an empty directory.
+// New returns an empty directory.
 func New() *Directory {
-	return &Directory{targets: make(map[api.TargetID]*entry), byAddress: make(map[string][]api.TargetID)}
+	return &Directory{targets: make(map[api.TargetID]*trackedTarget), byAddress: make(map[string][]api.TargetID)}
 }
 
-// supersedes tells whether next is later news than known of the same target.
+// supersedes reports whether next replaces known, another record of the same target.
 //
-// An announcement may arrive after its sender has started again under the same name. A later
-// run always wins, within a run the higher sequence, and within one announcement the later
-// state.
+// An announcement may arrive after its sender has restarted under the same name, so a later run
+// always wins. Within a run, or if the start of either run is not stated, a record of a target
+// that is gone wins, then the higher sequence, then the later state.
 func supersedes(next, known Record) bool {
 	if next.Born != known.Born && next.Born != 0 && known.Born != 0 {
 		return next.Born > known.Born
@@ -106,50 +113,51 @@
 	return next.State > known.State
 }
 
-// Announce takes what a target says of itself to this process. It gives the
-// record to pass on and whether that is news to others.
+// Announce applies an announcement that a target makes to this process. It returns
+// the record that is now in force and whether other processes must be told of it.
 func (d *Directory) Announce(r Record, now time.Time) (Record, bool) {
 	e := d.targets[r.Target]
 	if e != nil && !supersedes(r, e.record) {
 		if e.record.State != StateGone && r.Sequence == e.record.Sequence {
-			e.heard = now
+			e.lastHeard = now
 		}
 		return e.record, false
 	}
-	// A target that has come over from another process is news too: that process
-	// would otherwise conclude that it is missing.
-	news := e == nil || !e.own || !sameNews(e.record, r) || e.colderBy(r, now)
-	d.put(r, now, true)
-	return r, news
+	// Others must also be told of a target that announced itself to another process
+	// before: that process would otherwise conclude that the target is missing.
+	changed := e == nil || !e.own || !equalForRouting(e.record, r) || e.extendsCold(r, now)
+	d.store(r, now, true)
+	return r, changed
 }
 
-// sameNews tells whether two records of a run differ in nothing that routing
-// needs to know.
-func sameNews(a, b Record) bool {
+// equalForRouting reports whether two records of a run differ in nothing that
+// routing depends on, apart from the cold time, which extendsCold compares.
+func equalForRouting(a, b Record) bool {
 	a.Sequence, b.Sequence = 0, 0
 	a.Cold, b.Cold = 0, 0
 	return a == b
 }
 
-// coldTolerance is by how much the end of a cold time may seem to move between two
-// announcements that were not equally long on their way.
+// coldTolerance is how much later the end of the cold time may appear to be without
+// counting as a change: two announcements may take different times to arrive.
 const coldTolerance = 250 * time.Millisecond
 
-// colderBy tells whether a record says that the target stays cold for longer than known: a
-// target may become cold again at any time.
-func (e *entry) colderBy(r Record, now time.Time) bool {
-	return r.Cold > 0 && now.Add(r.Cold).After(e.coldTill.Add(coldTolerance))
+// extendsCold reports whether r makes the target stay cold for longer than known, by more than
+// coldTolerance. A target may become cold again at any time.
+func (t *trackedTarget) extendsCold(r Record, now time.Time) bool {
+	return r.Cold > 0 && now.Add(r.Cold).After(t.coldUntil.Add(coldTolerance))
 }
 
-// current gives the record with the cold time that is left.
-func (e *entry) current(now time.Time) Record {
-	r := e.record
-	r.Cold = max(0, e.coldTill.Sub(now))
+// current returns the record with the cold time that remains at the time now.
+func (t *trackedTarget) current(now time.Time) Record {
+	r := t.record
+	r.Cold = max(0, t.coldUntil.Sub(now))
 	return r
 }
 
-// Leave marks a target as gone, as it says itself. It gives the record to pass on
-// and whether that is news.
+// Leave marks a target as gone because the target itself says so. It ignores the
+// departure of a run other than the known one. It returns the record that is now in
+// force and whether other processes must be told of it.
 func (d *Directory) Leave(id api.TargetID, born int64, now time.Time) (Record, bool) {
 	e := d.targets[id]
 	r := Record{Target: id, Born: born, State: StateGone}
@@ -160,29 +168,31 @@
 		r = e.record
 		r.State = StateGone
 	}
-	news := e == nil || e.record.State != StateGone
-	d.put(r, now, true)
-	return r, news
+	changed := e == nil || e.record.State != StateGone
+	d.store(r, now, true)
+	return r, changed
 }
 
-// Merge takes a record from another process. It tells whether it was news.
+// Merge applies a record from another process. It reports whether the record
+// changed anything that routing depends on.
 func (d *Directory) Merge(r Record, now time.Time) bool {
 	e := d.targets[r.Target]
 	if e != nil && !supersedes(r, e.record) {
 		return false
 	}
-	news := e == nil || !sameNews(e.record, r) || e.colderBy(r, now)
-	d.put(r, now, false)
-	return news
+	changed := e == nil || !equalForRouting(e.record, r) || e.extendsCold(r, now)
+	d.store(r, now, false)
+	return changed
 }
 
-// put stores a record. Another target that was at the same address and is older
-// can't be there any more: an address belongs to one run at a time.
-func (d *Directory) put(r Record, now time.Time, own bool) {
+// store stores a record. It marks every other target at the same address as gone,
+// unless that target's run is known to have started later: an address belongs to
+// one run at a time.
+func (d *Directory) store(r Record, now time.Time, own bool) {
 	if known := d.targets[r.Target]; known != nil {
-		d.vacate(known.record)
+		d.removeFromAddress(known.record)
 	}
-	d.targets[r.Target] = &entry{record: r, heard: now, coldTill: now.Add(r.Cold), own: own}
+	d.targets[r.Target] = &trackedTarget{record: r, lastHeard: now, coldUntil: now.Add(r.Cold), own: own}
 	if r.State == StateGone || r.Address == "" {
 		return
 	}
@@ -191,36 +201,37 @@
 		if e.record.Born != 0 && r.Born != 0 && e.record.Born > r.Born {
 			continue
 		}
-		d.vacate(e.record)
+		d.removeFromAddress(e.record)
 		e.record.State = StateGone
-		e.heard = now
+		e.lastHeard = now
 	}
 	d.byAddress[r.Address] = append(d.byAddress[r.Address], r.Target)
 }
 
-// vacate takes a target from its address.
-func (d *Directory) vacate(r Record) {
-	left := slices.DeleteFunc(d.byAddress[r.Address], func(id api.TargetID) bool { return id == r.Target })
-	if len(left) == 0 {
+// removeFromAddress removes the record's target from the list of its address.
+func (d *Directory) removeFromAddress(r Record) {
+	remaining := slices.DeleteFunc(d.byAddress[r.Address], func(id api.TargetID) bool { return id == r.Target })
+	if len(remaining) == 0 {
 		delete(d.byAddress, r.Address)
 		return
 	}
-	d.byAddress[r.Address] = left
+	d.byAddress[r.Address] = remaining
 }
 
-// Expire concludes that targets which report to this process and have not for
-// silence are missing, and forgets those that are long gone. It gives the records
-// that changed.
+// Expire marks as missing the targets that announce themselves to this process and
+// have not done so for longer than silence. It removes targets that have been gone
+// for longer than tombstoneTTL. It returns the records of the targets that became
+// missing.
 func (d *Directory) Expire(now time.Time, silence time.Duration) []Record {
 	var changed []Record
 	for id, e := range d.targets {
 		if e.record.State == StateGone {
-			if now.Sub(e.heard) > tombstoneLife {
+			if now.Sub(e.lastHeard) > tombstoneTTL {
 				delete(d.targets, id)
 			}
 			continue
 		}
-		if e.own && e.record.State == StateReady && now.Sub(e.heard) > silence {
+		if e.own && e.record.State == StateReady && now.Sub(e.lastHeard) > silence {
 			e.record.State = StateMissing
 			changed = append(changed, e.record)
 		}
@@ -228,7 +239,7 @@
 	return changed
 }
 
-// Records gives all records as they are at a time, those of targets that are gone too.
+// Records returns all records as of now, including those of targets that are gone.
 func (d *Directory) Records(now time.Time) []Record {
 	out := make([]Record, 0, len(d.targets))
 	for _, e := range d.targets {
@@ -237,7 +248,7 @@
 	return out
 }
 
-// OwnRecords gives the records of targets that announce themselves to this process.
+// OwnRecords returns the records of the targets that announce themselves to this process.
 func (d *Directory) OwnRecords(now time.Time) []Record {
 	var out []Record
 	for _, e := range d.targets {
@@ -248,7 +259,8 @@
 	return out
 }
 
-// Get gives one record.
+// Get returns the record of one target, with the cold time as it was received, and
+// whether the target is known.
 func (d *Directory) Get(id api.TargetID) (Record, bool) {
 	e := d.targets[id]
 	if e == nil {
--- a/core/directory/directory_test.go
+++ b/core/directory/directory_test.go
@@ -15,9 +15,9 @@
 	return Record{Target: api.TargetID(id), Service: "s", Address: "10.0.0.1:80", Born: born, Sequence: seq, State: s}
 }
 
-// Announcements come late, twice, in the wrong order, and from runs that have
-// ended. Whatever order two of them come in, the later news holds: callers would
-// otherwise be sent to a target that has left, or a new run would get nothing.
+// Announcements arrive late, repeated, out of order, and from runs that have ended.
+// Whatever the order of two of them, the more recent one must win: otherwise
+// requests would be sent to a target that has left, or a new run would get none.
 func TestLaterNewsHolds(t *testing.T) {
 	for _, tt := range []struct {
 		name  string
@@ -47,8 +47,8 @@
 	}
 }
 
-// An address is used again by another target. The one that was there is gone,
-// though it never said so.
+// A new target takes over the address of an earlier one, which never announced its
+// departure. The earlier target must be marked as gone.
 func TestAddressBelongsToItsLatestRun(t *testing.T) {
 	c := qt.New(t)
 	now := time.Unix(0, 0)
@@ -64,8 +64,9 @@
 	c.Assert(got.State, qt.Equals, StateReady)
 }
 
-// Only the process that a target reports to may conclude from silence that it is
-// missing, and a target that comes over is news to the process it came from.
+// Only the process that a target announces itself to may conclude from silence that
+// the target is missing. When a target starts announcing itself to another process,
+// the former process must be told.
 func TestSilenceIsNoticedWhereTheTargetReports(t *testing.T) {
 	c := qt.New(t)
 	start := time.Unix(0, 0)
@@ -83,8 +84,8 @@
 	c.Assert(gone[0].State, qt.Equals, StateMissing)
 }
 
-// A target that leaves without a word of draining is still told to everyone, also
-// by a process that never heard of it.
+// The departure of a target that did not announce it in advance must reach all
+// processes, even through a process that does not know the target.
 func TestLeaveOfAnUnknownTargetIsKept(t *testing.T) {
 	c := qt.New(t)
 	now := time.Unix(0, 0)
@@ -93,12 +94,13 @@
 	c.Assert(news, qt.IsTrue)
 	c.Assert(left.State, qt.Equals, StateGone)
 	c.Assert(d.Merge(rec("t", 1, 1, StateReady), now), qt.IsFalse)
-	d.Expire(now.Add(2*tombstoneLife), time.Second)
-	c.Assert(d.Records(now.Add(2*tombstoneLife)), qt.HasLen, 0)
+	d.Expire(now.Add(2*tombstoneTTL), time.Second)
+	c.Assert(d.Records(now.Add(2*tombstoneTTL)), qt.HasLen, 0)
 }
 
-// TestAddressesAreIndexedAsTheyAre guards against a target that keeps an address which
-// another one has taken: its requests would go to the other.
+// TestAddressesAreIndexedAsTheyAre guards against an address index that differs from the records.
+// Requests for a target that is still listed at an address which another target has taken would
+// be sent to that other target.
 func TestAddressesAreIndexedAsTheyAre(t *testing.T) {
 	c := qt.New(t)
 	rng := rand.New(rand.NewPCG(8, 9))
@@ -132,13 +134,13 @@
 	}
 }
 
-// TestTargetThatBecomesColdAgainIsNews guards against a target that becomes cold while it
-// runs and of which nobody but the member that it announces itself to hears.
+// TestTargetThatBecomesColdAgainIsNews guards against a target that becomes cold while it runs
+// when only the process that it announces itself to learns of that.
 func TestTargetThatBecomesColdAgainIsNews(t *testing.T) {
 	t0 := time.Unix(100, 0)
 	for _, tt := range []struct {
 		name  string
-		known time.Duration // of the first announcement
+		known time.Duration // Cold of the first announcement
 		next  time.Duration
 		after time.Duration
 		news  bool
