--- a/core/regroup/regroup.go
+++ b/core/regroup/regroup.go
@@ -1,6 +1,6 @@
-// Package regroup decides how a control group mends itself without an operator:
-// when a new member is given a vote and when a lost one is removed. It is pure;
-// the leader asks it at an interval and carries out one change at a time.
+// Package regroup decides which membership changes a control group makes without an
+// operator: when a new member gets a vote and when a lost member is removed. It does
+// no I/O; the leader calls Plan at an interval and makes one change at a time.
 package regroup
 
 import (
@@ -9,116 +9,122 @@
 	"almondseam.dev/core/consensus"
 )
 
-// Limits of the decisions.
+// Limits holds the thresholds of the decisions.
 type Limits struct {
-	// Silence is how long a voter must have been silent before it may be taken
-	// for lost.
+	// Silence is how long a voter must have been silent before it may be removed
+	// because the number of voters is even.
 	Silence time.Duration
-	// LearnerSilence is the same for a member without a vote.
+	// LearnerSilence is how long a learner, a member without a vote, must have been
+	// silent before it is removed.
 	LearnerSilence time.Duration
-	// MaxLag is how many entries a learner may lack when it gets its vote.
+	// MaxLag is how many log entries a learner may be behind the leader when it gets
+	// its vote.
 	MaxLag uint64
 }
 
-// DefaultLimits: a frozen process wakes again within seconds, and removing it
-// only makes it join once more, so Silence needs to be no longer than a few
-// elections. A learner costs nobody a vote and may take its time.
+// DefaultLimits returns the limits that control members use. A frozen process
+// resumes within seconds, and removing it only makes it join again, so Silence needs
+// to be no longer than a few elections. A silent learner costs the group no vote, so
+// it is given more time.
 func DefaultLimits() Limits {
 	return Limits{Silence: 3 * time.Second, LearnerSilence: 20 * time.Second, MaxLag: 32}
 }
 
-// Planner remembers since when each member has been silent. It belongs to one
-// leader's office. Not safe for concurrent use.
+// Planner decides on the changes and records since when each member has been
+// silent. It serves one leader for as long as that member leads the group. It is
+// not safe for concurrent use.
 type Planner struct {
-	limits Limits
-	silent map[consensus.MemberID]time.Time
+	limits      Limits
+	silentSince map[consensus.MemberID]time.Time
 }
 
-// NewPlanner begins an office.
+// NewPlanner returns a planner for a new leader.
 func NewPlanner(l Limits) *Planner {
-	return &Planner{limits: l, silent: make(map[consensus.MemberID]time.Time)}
+	return &Planner{limits: l, silentSince: make(map[consensus.MemberID]time.Time)}
 }
 
-// Plan gives the one change to make now, nil for none. st is the leader's status.
-func (k *Planner) Plan(st *consensus.Status, now time.Time) *consensus.Change {
+// Plan returns the one change to make now, or nil for none. st is the status of the
+// leader.
+func (p *Planner) Plan(st *consensus.Status, now time.Time) *consensus.Change {
 	if st.Role != consensus.RoleLeader || st.ChangePending {
 		return nil
 	}
-	k.observe(st, now)
-	if c := k.promote(st); c != nil {
+	p.observe(st, now)
+	if c := p.promote(st); c != nil {
 		return c
 	}
-	return k.remove(st, now)
+	return p.remove(st, now)
 }
 
-func (k *Planner) observe(st *consensus.Status, now time.Time) {
-	for _, p := range st.Members {
-		if p.Active {
-			delete(k.silent, p.ID)
-		} else if _, known := k.silent[p.ID]; !known {
-			k.silent[p.ID] = now
+func (p *Planner) observe(st *consensus.Status, now time.Time) {
+	for _, m := range st.Members {
+		if m.Active {
+			delete(p.silentSince, m.ID)
+		} else if _, known := p.silentSince[m.ID]; !known {
+			p.silentSince[m.ID] = now
 		}
 	}
 }
 
-func (k *Planner) promote(st *consensus.Status) *consensus.Change {
-	for _, p := range st.Members {
-		if !p.Voter && p.Active && !p.SendingSnapshot && p.Lag <= k.limits.MaxLag {
-			return &consensus.Change{Type: consensus.ChangePromote, ID: p.ID}
+func (p *Planner) promote(st *consensus.Status) *consensus.Change {
+	for _, m := range st.Members {
+		if !m.Voter && m.Active && !m.SendingSnapshot && m.Lag <= p.limits.MaxLag {
+			return &consensus.Change{Type: consensus.ChangePromote, ID: m.ID}
 		}
 	}
 	return nil
 }
 
-// remove finds a member that is lost.
+// remove returns the removal of a member that is lost, or nil if there is none.
 //
-// A voter that never answers again brings the group one loss closer to a standstill. It is
-// removed only when that leaves no fewer voters than its replacement made up for: when another
-// active voter has its address, or when the number of voters is even. The others must all
-// answer, so a partition never shrinks a group.
-func (k *Planner) remove(st *consensus.Status, now time.Time) *consensus.Change {
-	for _, p := range st.Members {
-		if !p.Voter && k.silentFor(p.ID, now) > k.limits.LearnerSilence {
-			return removal(p.ID)
+// A voter that never answers again brings the group one failure closer to losing its majority. It
+// is removed only when a replacement has already made up for it: when another active voter has its
+// address, or when the number of voters is even. All other voters must be active, so a partition
+// never shrinks a group.
+func (p *Planner) remove(st *consensus.Status, now time.Time) *consensus.Change {
+	for _, m := range st.Members {
+		if !m.Voter && p.silentFor(m.ID, now) > p.limits.LearnerSilence {
+			return removal(m.ID)
 		}
 	}
-	lost, silent := consensus.Progress{}, 0
-	for _, p := range st.Members {
-		if p.Voter && !p.Active {
-			silent++
-			lost = p
+	lost, silentVoters := consensus.Progress{}, 0
+	for _, m := range st.Members {
+		if m.Voter && !m.Active {
+			silentVoters++
+			lost = m
 		}
 	}
-	if silent != 1 {
+	if silentVoters != 1 {
 		return nil
 	}
-	if k.replaced(st, lost) {
+	if p.replaced(st, lost) {
 		return removal(lost.ID)
 	}
 	voters := len(st.Membership.Voters)
-	if voters > minVoters && voters%2 == 0 && k.silentFor(lost.ID, now) > k.limits.Silence {
+	if voters > minVoters && voters%2 == 0 && p.silentFor(lost.ID, now) > p.limits.Silence {
 		return removal(lost.ID)
 	}
 	return nil
 }
 
-// minVoters is the smallest group that bears the loss of a member; none is
-// removed that would leave fewer.
+// minVoters is the size of the smallest group that tolerates the loss of a member.
+// A voter is removed because of an even number only if at least this many remain.
 const minVoters = 3
 
-// replaced tells whether an active voter has the lost one's address: its folder
-// was lost, for the machine runs again under another identity.
-func (k *Planner) replaced(st *consensus.Status, lost consensus.Progress) bool {
-	for _, p := range st.Members {
-		if p.Voter && p.Active && p.ID != lost.ID && p.Addr == lost.Addr {
+// replaced reports whether another active voter has the address of the lost one. The
+// lost voter's data directory is then gone, since the machine at that address runs
+// under a new member ID.
+func (p *Planner) replaced(st *consensus.Status, lost consensus.Progress) bool {
+	for _, m := range st.Members {
+		if m.Voter && m.Active && m.ID != lost.ID && m.Addr == lost.Addr {
 			return true
 		}
 	}
 	return false
 }
 
-func (k *Planner) silentFor(id consensus.MemberID, now time.Time) time.Duration {
-	since, ok := k.silent[id]
+func (p *Planner) silentFor(id consensus.MemberID, now time.Time) time.Duration {
+	since, ok := p.silentSince[id]
 	if !ok {
 		return 0
 	}
--- a/core/regroup/regroup_test.go
+++ b/core/regroup/regroup_test.go
@@ -25,9 +25,9 @@
 	return st
 }
 
-// Operators see a group that mends itself after a machine comes back with an
-// empty disk or another takes its place, and one that stays as it is while a
-// member is merely silent: a partition or a frozen process must not cost a vote.
+// A group must remove a lost voter once its machine has come back with an empty disk
+// or another machine has taken its place. It must stay unchanged while a member is
+// merely silent: a partition or a frozen process must not cost a vote.
 func TestPlan(t *testing.T) {
 	learner := consensus.Progress{ID: 9, Addr: "d", Active: true}
 	lagging := consensus.Progress{ID: 9, Addr: "d", Active: true, Lag: 500}
@@ -37,24 +37,24 @@
 		silent time.Duration
 		want   *consensus.Change
 	}{
-		{"all well", status(voter(1, "a", true), voter(2, "b", true), voter(3, "c", true)), time.Minute, nil},
+		{"all members active", status(voter(1, "a", true), voter(2, "b", true), voter(3, "c", true)), time.Minute, nil},
 		{"a learner that has caught up gets its vote", status(voter(1, "a", true), voter(2, "b", true), voter(3, "c", false), learner), 0,
 			&consensus.Change{Type: consensus.ChangePromote, ID: 9}},
-		{"a learner behind waits", status(voter(1, "a", true), voter(2, "b", true), voter(3, "c", true), lagging), 0, nil},
-		{"three voters are never made two", status(voter(1, "a", true), voter(2, "b", true), voter(3, "c", false)), time.Hour, nil},
-		{"the identity of a lost folder goes at once", status(voter(1, "a", true), voter(2, "b", true), voter(3, "c", false), voter(9, "c", true)), 0,
+		{"a lagging learner does not get a vote", status(voter(1, "a", true), voter(2, "b", true), voter(3, "c", true), lagging), 0, nil},
+		{"three voters are never reduced to two", status(voter(1, "a", true), voter(2, "b", true), voter(3, "c", false)), time.Hour, nil},
+		{"a voter whose address has a new member ID is removed at once", status(voter(1, "a", true), voter(2, "b", true), voter(3, "c", false), voter(9, "c", true)), 0,
 			&consensus.Change{Type: consensus.ChangeRemove, ID: 3}},
 		{"a fourth voter makes up for a lost one", status(voter(1, "a", true), voter(2, "b", true), voter(3, "c", false), voter(9, "d", true)), 4 * time.Second,
 			&consensus.Change{Type: consensus.ChangeRemove, ID: 3}},
-		{"but not before it has been silent for a while", status(voter(1, "a", true), voter(2, "b", true), voter(3, "c", false), voter(9, "d", true)), time.Second, nil},
+		{"a lost one of four voters stays until it has been silent for long enough", status(voter(1, "a", true), voter(2, "b", true), voter(3, "c", false), voter(9, "d", true)), time.Second, nil},
 		{"two silent voters may be behind a partition", status(voter(1, "a", true), voter(2, "b", true), voter(3, "c", true), voter(4, "d", false), voter(5, "e", false), voter(6, "f", true)), time.Hour, nil},
 	} {
 		t.Run(tt.name, func(t *testing.T) {
 			c := qt.New(t)
-			k := NewPlanner(DefaultLimits())
+			p := NewPlanner(DefaultLimits())
 			start := time.Unix(0, 0)
-			k.observe(tt.st, start)
-			c.Assert(k.Plan(tt.st, start.Add(tt.silent)), qt.DeepEquals, tt.want)
+			p.observe(tt.st, start)
+			c.Assert(p.Plan(tt.st, start.Add(tt.silent)), qt.DeepEquals, tt.want)
 		})
 	}
 }
