--- a/core/codec/codec.go
+++ b/core/codec/codec.go
@@ -1,25 +1,27 @@
-// Package codec gives the CBOR modes (RFC 8949) that every package of the project
-// encodes and decodes with: deterministic, and bounded on the way in.
+// Package codec provides the CBOR modes (RFC 8949) that the packages of this project
+// share. Encoding is deterministic, and decoding is bounded.
 package codec
 
 import "github.com/fxamacker/cbor/v2"
 
-// Bounds limit what a decoder takes. A peer or a damaged file that exceeds one
-// costs an error, never the memory that its lengths promise.
+// Bounds limits what a decoder accepts. Input from a peer or a damaged file that
+// exceeds a bound is rejected with an error before memory is allocated for the
+// lengths that it declares.
 type Bounds struct {
-	// Nesting is the depth of arrays and maps; Items and Pairs bound one array
-	// and one map.
+	// Nesting is the maximum depth of nested arrays and maps. Items is the maximum
+	// number of elements of one array, Pairs that of one map.
 	Nesting int
 	Items   int
 	Pairs   int
-	// Strict refuses keys and array elements that the Go type doesn't know. It
-	// is for documents; messages ignore them, so that neighbouring versions
-	// understand each other.
+	// Strict rejects map keys for which the Go type has no field. It is meant for
+	// documents. Messages are decoded without it and ignore such keys, so that
+	// adjacent versions of the software understand each other. An array that is
+	// decoded into a struct must have exactly the struct's length in either case.
 	Strict bool
 }
 
-// Encoder gives the deterministic encoding: equal values have equal bytes, which
-// digests and comparisons of snapshots rely on.
+// Encoder returns the deterministic encoding mode: equal values have equal bytes,
+// which digests and comparisons of snapshots rely on.
 func Encoder() cbor.EncMode {
 	m, err := cbor.CoreDetEncOptions().EncMode()
 	if err != nil {
@@ -28,9 +30,9 @@
 	return m
 }
 
-// Decoder gives a decoder that refuses repeated keys, indefinite lengths and
-// tags besides what exceeds b. It panics on bounds that the library doesn't take,
-// which is a mistake in the program.
+// Decoder returns a decoding mode that rejects repeated keys, indefinite lengths,
+// tags and whatever exceeds b. It panics on bounds that the library does not accept,
+// since they are a programming error.
 func Decoder(b Bounds) cbor.DecMode {
 	opt := cbor.DecOptions{
 		DupMapKey:        cbor.DupMapKeyEnforcedAPF,
