--- a/core/retry/budget.go
+++ b/core/retry/budget.go
@@ -7,16 +7,16 @@
 	"almondseam.dev/core/api"
 )
 
-// Ratio sets one budget: how many retries go with how many first tries.
-type Ratio struct {
-	// PerTry is what a first try adds; 0.1 allows one retry for ten.
-	PerTry float64
+// BudgetOptions sets one budget: how many retries go with how many first tries.
+type BudgetOptions struct {
+	// PerRequest is what a first try adds; 0.1 allows one retry for ten.
+	PerRequest float64
 	// PerSecond is added by time alone: a customer with few requests may retry
 	// too.
 	PerSecond float64
-	// Most bounds what is saved up, so that a quiet hour does not pay for a
+	// Max bounds what is saved up, so that a quiet hour does not pay for a
 	// burst of retries in the crowded one.
-	Most float64
+	Max float64
 }
 
 // bucket is a budget under way. Its lock is held for a few instructions.
@@ -26,28 +26,28 @@
 	at    time.Time
 }
 
-// fill adds what time gives; the first call fills up to Most.
-func (b *bucket) fill(r Ratio, now time.Time) {
+// fill adds what time gives; the first call fills up to Max.
+func (b *bucket) fill(r BudgetOptions, now time.Time) {
 	if b.at.IsZero() {
-		b.level, b.at = r.Most, now
+		b.level, b.at = r.Max, now
 		return
 	}
 	if d := now.Sub(b.at); d > 0 {
 		b.level += r.PerSecond * d.Seconds()
 		b.at = now
 	}
-	// Most may have been lowered since.
-	b.level = min(r.Most, b.level)
+	// Max may have been lowered since.
+	b.level = min(r.Max, b.level)
 }
 
-func (b *bucket) deposit(r Ratio, now time.Time) {
+func (b *bucket) deposit(r BudgetOptions, now time.Time) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.fill(r, now)
-	b.level = min(r.Most, b.level+r.PerTry)
+	b.level = min(r.Max, b.level+r.PerRequest)
 }
 
-func (b *bucket) withdraw(r Ratio, cost float64, now time.Time) bool {
+func (b *bucket) withdraw(r BudgetOptions, cost float64, now time.Time) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.fill(r, now)
--- a/core/retry/metastable_test.go
+++ b/core/retry/metastable_test.go
@@ -95,9 +95,9 @@
 		}
 		return 0.7
 	}
-	many := Options{Attempts: 30, Max: 100 * time.Millisecond}
+	many := Options{MaxAttempts: 30, MaxBackoff: 100 * time.Millisecond}
 	free := many
-	free.Customer = Ratio{PerTry: 1000, Most: 1000}
+	free.Customer = BudgetOptions{PerRequest: 1000, Max: 1000}
 	free.Overall = free.Customer
 	for seed := range uint64(5) {
 		with := crowd(New(many, counts{}), load, 90, rnd(seed))
--- a/core/retry/retry.go
+++ b/core/retry/retry.go
@@ -18,53 +18,53 @@
 type Meter interface {
 	// Retried counts a retry by the reason of the failure.
 	Retried(r api.Reason)
-	// Refused counts a failure that could have been retried but is not, by why.
-	Refused(w Why)
+	// Denied counts a failure that could have been retried but is not, by why.
+	Denied(w Denial)
 }
 
-// Why says what kept a failure that could be retried from being retried.
-type Why string
+// Denial says what kept a failure that could be retried from being retried.
+type Denial string
 
 const (
-	// WhyBudget: the customer's budget or the one over all is spent.
-	WhyBudget Why = "budget"
-	// WhyDeadline: the caller will have given up before the retry.
-	WhyDeadline Why = "deadline"
-	// WhyAttempts: the request has had all its attempts.
-	WhyAttempts Why = "attempts"
+	// DenialBudget: the customer's budget or the one over all is spent.
+	DenialBudget Denial = "budget"
+	// DenialDeadline: the caller will have given up before the retry.
+	DenialDeadline Denial = "deadline"
+	// DenialAttempts: the request has had all its attempts.
+	DenialAttempts Denial = "attempts"
 )
 
-// Whys lists all values of Why, for metrics.
-var Whys = []Why{WhyBudget, WhyDeadline, WhyAttempts}
+// Denials lists all values of Denial, for metrics.
+var Denials = []Denial{DenialBudget, DenialDeadline, DenialAttempts}
 
 // Options sets a Policy. A zero field takes its default.
 type Options struct {
-	// Attempts bounds the attempts of one request, the first included; 3.
-	Attempts int
-	// Base and Max bound the backoff; 25 ms and 2 s.
-	Base time.Duration
-	Max  time.Duration
+	// MaxAttempts bounds the attempts of one request, the first included; 3.
+	MaxAttempts int
+	// BaseBackoff and MaxBackoff bound the backoff; 25 ms and 2 s.
+	BaseBackoff time.Duration
+	MaxBackoff  time.Duration
 	// Customer and Overall are the budgets; 0.1 a try, with 0.5 a second up to
 	// 5 for one customer, and 2 a second up to 50 for all.
-	Customer Ratio
-	Overall  Ratio
+	Customer BudgetOptions
+	Overall  BudgetOptions
 }
 
 func (o Options) withDefaults() Options {
-	if o.Attempts <= 0 {
-		o.Attempts = 3
+	if o.MaxAttempts <= 0 {
+		o.MaxAttempts = 3
 	}
-	if o.Base <= 0 {
-		o.Base = 25 * time.Millisecond
+	if o.BaseBackoff <= 0 {
+		o.BaseBackoff = 25 * time.Millisecond
 	}
-	if o.Max <= 0 {
-		o.Max = 2 * time.Second
+	if o.MaxBackoff <= 0 {
+		o.MaxBackoff = 2 * time.Second
 	}
-	if o.Customer == (Ratio{}) {
-		o.Customer = Ratio{PerTry: 0.1, PerSecond: 0.5, Most: 5}
+	if o.Customer == (BudgetOptions{}) {
+		o.Customer = BudgetOptions{PerRequest: 0.1, PerSecond: 0.5, Max: 5}
 	}
-	if o.Overall == (Ratio{}) {
-		o.Overall = Ratio{PerTry: 0.1, PerSecond: 2, Most: 50}
+	if o.Overall == (BudgetOptions{}) {
+		o.Overall = BudgetOptions{PerRequest: 0.1, PerSecond: 2, Max: 50}
 	}
 	return o
 }
@@ -91,10 +91,10 @@
 // options that it began with.
 func (p *Policy) Set(attempts int, perTry float64) {
 	o := p.made
-	o.Attempts = max(1, attempts)
-	o.Customer.PerTry, o.Overall.PerTry = perTry, perTry
+	o.MaxAttempts = max(1, attempts)
+	o.Customer.PerRequest, o.Overall.PerRequest = perTry, perTry
 	if perTry <= 0 {
-		o.Customer, o.Overall = Ratio{}, Ratio{}
+		o.Customer, o.Overall = BudgetOptions{}, BudgetOptions{}
 	}
 	p.opts.Store(&o)
 }
@@ -120,8 +120,8 @@
 	// Reason is that of the failure. It is what to tell a caller when Retry is
 	// not set: that the budget is spent would say less of when to come back.
 	Reason api.Reason
-	// Why is set when the failure could have been retried and is not.
-	Why Why
+	// Denial is set when the failure could have been retried and is not.
+	Denial Denial
 }
 
 // First notes a request's first attempt, which pays into the budgets.
@@ -137,9 +137,9 @@
 	}
 	o := p.opts.Load()
 	d.After = o.backoff(a.Number, err, rng)
-	d.Why = p.hindrance(o, a, err, d.After, now)
-	if d.Why != "" {
-		p.meter.Refused(d.Why)
+	d.Denial = p.hindrance(o, a, err, d.After, now)
+	if d.Denial != "" {
+		p.meter.Denied(d.Denial)
 		return d
 	}
 	p.meter.Retried(err.Reason)
@@ -148,16 +148,16 @@
 }
 
 // hindrance pays for a retry, or says why there is none.
-func (p *Policy) hindrance(o *Options, a Attempt, err *api.Error, after time.Duration, now time.Time) Why {
+func (p *Policy) hindrance(o *Options, a Attempt, err *api.Error, after time.Duration, now time.Time) Denial {
 	switch {
-	case int(a.Number) >= o.Attempts:
-		return WhyAttempts
+	case int(a.Number) >= o.MaxAttempts:
+		return DenialAttempts
 	case !a.Deadline.IsZero() && !now.Add(after).Before(a.Deadline):
-		return WhyDeadline
+		return DenialDeadline
 	case handedBack(err):
 		return ""
 	case !p.budgets.take(o, a.Customer, cost(err.Reason), now):
-		return WhyBudget
+		return DenialBudget
 	default:
 		return ""
 	}
@@ -237,9 +237,9 @@
 // A RetryAfter that speaks for all targets asked (StepRoute) is waited out. One
 // target's own binds only a return to it, and the retry goes elsewhere.
 func (o *Options) backoff(n api.Attempt, err *api.Error, rng *rand.Rand) time.Duration {
-	d := o.Max
+	d := o.MaxBackoff
 	if n < 16 {
-		d = min(d, o.Base<<(max(n, 1)-1))
+		d = min(d, o.BaseBackoff<<(max(n, 1)-1))
 	}
 	if err.Step == api.StepRoute {
 		d = max(d, 2*err.RetryAfter)
--- a/core/retry/retry_test.go
+++ b/core/retry/retry_test.go
@@ -14,7 +14,7 @@
 type counts map[api.Reason]int
 
 func (c counts) Retried(r api.Reason) { c[r]++ }
-func (c counts) Refused(w Why)        { c["not: "+api.Reason(w)]++ }
+func (c counts) Denied(w Denial)      { c["not: "+api.Reason(w)]++ }
 
 func rnd(seed uint64) *rand.Rand { return rand.New(rand.NewPCG(seed, 3)) }
 
@@ -80,8 +80,8 @@
 func TestBudgets(t *testing.T) {
 	c := qt.New(t)
 	o := Options{
-		Customer: Ratio{PerTry: 0.1, PerSecond: 0.5, Most: 5},
-		Overall:  Ratio{PerSecond: 1, Most: 12},
+		Customer: BudgetOptions{PerRequest: 0.1, PerSecond: 0.5, Max: 5},
+		Overall:  BudgetOptions{PerSecond: 1, Max: 12},
 	}
 	p := New(o, counts{})
 	reason := api.ReasonQueueFull
@@ -92,7 +92,7 @@
 			if d.Retry {
 				retries++
 			} else {
-				c.Assert(d.Why, qt.Equals, WhyBudget)
+				c.Assert(d.Denial, qt.Equals, DenialBudget)
 			}
 		}
 		return retries
@@ -115,7 +115,7 @@
 // any other reason goes on being paid for.
 func TestQueueOfALeavingTargetMovesWithoutBudget(t *testing.T) {
 	c := qt.New(t)
-	p := New(Options{Customer: Ratio{PerTry: 0.001, PerSecond: 0.001, Most: 1}}, nopMeter{})
+	p := New(Options{Customer: BudgetOptions{PerRequest: 0.001, PerSecond: 0.001, Max: 1}}, nopMeter{})
 	now := time.Unix(0, 0)
 	rng := rand.New(rand.NewPCG(1, 1))
 	leaving := api.NotRun(api.StepQueue, "t1", api.ReasonTargetLeaving, nil)
@@ -124,14 +124,14 @@
 		c.Assert(p.Next(Attempt{Customer: "c", Number: 1}, leaving, 0, false, now, rng).Retry, qt.IsTrue)
 	}
 	p.Next(Attempt{Customer: "c", Number: 1}, full, 0, false, now, rng)
-	c.Assert(p.Next(Attempt{Customer: "c", Number: 1}, full, 0, false, now, rng).Why, qt.Equals, WhyBudget)
-	c.Assert(p.Next(Attempt{Customer: "c", Number: 3}, leaving, 0, false, now, rng).Why, qt.Equals, WhyAttempts)
+	c.Assert(p.Next(Attempt{Customer: "c", Number: 1}, full, 0, false, now, rng).Denial, qt.Equals, DenialBudget)
+	c.Assert(p.Next(Attempt{Customer: "c", Number: 3}, leaving, 0, false, now, rng).Denial, qt.Equals, DenialAttempts)
 }
 
 type nopMeter struct{}
 
 func (nopMeter) Retried(api.Reason) {}
-func (nopMeter) Refused(Why)        {}
+func (nopMeter) Denied(Denial)      {}
 
 // Attempts and budget are changed between failures: the next decision goes by
 // the new ones, also after the budget was shut and opened again.
@@ -140,19 +140,19 @@
 	m := counts{}
 	p := New(Options{}, m)
 	refused := &api.Error{Outcome: api.OutcomeNotRun, Reason: api.ReasonQueueFull}
-	next := func(number api.Attempt, now time.Time) Why {
-		return p.Next(Attempt{Customer: "c", Number: number}, refused, 0, true, now, rnd(1)).Why
+	next := func(number api.Attempt, now time.Time) Denial {
+		return p.Next(Attempt{Customer: "c", Number: number}, refused, 0, true, now, rnd(1)).Denial
 	}
-	c.Assert(next(1, t0), qt.Equals, Why(""))
+	c.Assert(next(1, t0), qt.Equals, Denial(""))
 	p.Set(1, 0.1)
-	c.Assert(next(1, t0), qt.Equals, WhyAttempts)
+	c.Assert(next(1, t0), qt.Equals, DenialAttempts)
 	p.Set(5, 0.1)
-	c.Assert(next(4, t0), qt.Equals, Why(""))
+	c.Assert(next(4, t0), qt.Equals, Denial(""))
 	p.Set(5, 0)
-	c.Assert(next(1, t0), qt.Equals, WhyBudget)
-	c.Assert(next(1, t0.Add(time.Hour)), qt.Equals, WhyBudget)
+	c.Assert(next(1, t0), qt.Equals, DenialBudget)
+	c.Assert(next(1, t0.Add(time.Hour)), qt.Equals, DenialBudget)
 	p.Set(5, 1)
 	p.First("c", t0.Add(time.Hour))
-	c.Assert(next(1, t0.Add(time.Hour)), qt.Equals, Why(""))
-	c.Assert(next(1, t0.Add(time.Hour)), qt.Equals, WhyBudget)
+	c.Assert(next(1, t0.Add(time.Hour)), qt.Equals, Denial(""))
+	c.Assert(next(1, t0.Add(time.Hour)), qt.Equals, DenialBudget)
 }
--- a/node/entry/place_test.go
+++ b/node/entry/place_test.go
@@ -14,8 +14,8 @@
 // meter counts what the retry policy decides.
 type meter map[string]int
 
-func (m meter) Retried(r api.Reason) { m[string(r)]++ }
-func (m meter) Refused(w retry.Why)  { m["not: "+string(w)]++ }
+func (m meter) Retried(r api.Reason)  { m[string(r)]++ }
+func (m meter) Denied(w retry.Denial) { m["not: "+string(w)]++ }
 
 func newRetryBench(t *testing.T, o retry.Options) (*bench, meter) {
 	b, m := newBench(t), meter{}
@@ -128,7 +128,7 @@
 // then on the caller gets the refusal itself, and the load is not doubled.
 func TestRetryBudgetSpent(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		one := retry.Ratio{Most: 1}
+		one := retry.BudgetOptions{Max: 1}
 		b, m := newRetryBench(t, retry.Options{Customer: one, Overall: one})
 		a1, a2 := b.agent("t1", 1), b.agent("t2", 1)
 		refuse := func(a *fakeAgent, o *wire.Offer) {
--- a/node/entry/policy_test.go
+++ b/node/entry/policy_test.go
@@ -14,8 +14,8 @@
 
 type uncounted struct{}
 
-func (uncounted) Retried(api.Reason) {}
-func (uncounted) Refused(retry.Why)  {}
+func (uncounted) Retried(api.Reason)  {}
+func (uncounted) Denied(retry.Denial) {}
 
 // publish puts a configuration with a policy in force.
 func publish(c *qt.C, live *fleetconfig.Live, rev api.Revision, policy string) {
--- a/node/metrics/metrics.go
+++ b/node/metrics/metrics.go
@@ -75,7 +75,7 @@
 		s.refusals.WithLabelValues(string(r))
 		s.retries.WithLabelValues(string(r))
 	}
-	for _, w := range retry.Whys {
+	for _, w := range retry.Denials {
 		s.denied.WithLabelValues(string(w))
 	}
 	for _, o := range []api.Outcome{api.OutcomeCompleted, api.OutcomeNotRun, api.OutcomeInterrupted, api.OutcomeUnknown} {
@@ -159,8 +159,8 @@
 // Retried implements retry.Meter. The entry counts the retry when it makes it.
 func (Retries) Retried(api.Reason) {}
 
-// Refused implements retry.Meter.
-func (s Retries) Refused(w retry.Why) { s.denied.WithLabelValues(string(w)).Inc() }
+// Denied implements retry.Meter.
+func (s Retries) Denied(w retry.Denial) { s.denied.WithLabelValues(string(w)).Inc() }
 
 // Agent is the view that an agent reports to.
 type Agent struct{ *Set }
