--- a/core/stream/buffer.go
+++ b/core/stream/buffer.go
@@ -6,11 +6,11 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// ErrPassed is returned for an offset whose items are no longer held.
-var ErrPassed = errors.New("stream: offset is before the replay window")
+// ErrBeforeWindow is returned for an offset whose items are no longer held.
+var ErrBeforeWindow = errors.New("stream: offset is before the replay window")
 
-// ErrAhead is returned for an offset beyond the items appended so far.
-var ErrAhead = errors.New("stream: offset is beyond the end")
+// ErrBeyondEnd is returned for an offset beyond the items appended so far.
+var ErrBeyondEnd = errors.New("stream: offset is beyond the end")
 
 // Buffer holds the items of one generation at its agent. Offsets count items
 // from 0. Acknowledged items are kept while they fit into the replay window, so
@@ -62,10 +62,10 @@
 // one item if there is one. It gives the packed run and the count of items.
 func (b *Buffer) From(dst []byte, off uint64, max int) ([]byte, int, error) {
 	if off < b.base {
-		return dst, 0, ErrPassed
+		return dst, 0, ErrBeforeWindow
 	}
 	if off > b.end {
-		return dst, 0, ErrAhead
+		return dst, 0, ErrBeyondEnd
 	}
 	p, err := b.seek(off)
 	if err != nil {
@@ -106,7 +106,7 @@
 // drop items that nobody has received.
 func (b *Buffer) Ack(off uint64) error {
 	if off > b.end {
-		return ErrAhead
+		return ErrBeyondEnd
 	}
 	if off <= b.acked {
 		return nil
--- a/core/stream/receiver.go
+++ b/core/stream/receiver.go
@@ -18,8 +18,8 @@
 	// Gap: items are missing in front of it; nothing was taken. The receiver
 	// asks for a resume from Next.
 	Gap
-	// Foreign: it belongs to another generation; nothing was taken.
-	Foreign
+	// OtherGeneration: it belongs to another generation; nothing was taken.
+	OtherGeneration
 )
 
 // Receiver is the entry's end of one generation. The generation is fixed by the
@@ -63,7 +63,7 @@
 // of packed that is new, aliasing packed.
 func (r *Receiver) Accept(gen api.GenerationID, off uint64, n int, packed []byte) ([]byte, int, Verdict, error) {
 	if r.gen != "" && r.gen != gen {
-		return nil, 0, Foreign, nil
+		return nil, 0, OtherGeneration, nil
 	}
 	if off > r.next {
 		return nil, 0, Gap, nil
--- a/core/stream/stream_test.go
+++ b/core/stream/stream_test.go
@@ -31,7 +31,7 @@
 		{"exact duplicate", "g1", 0, []string{"a", "b"}, Duplicate, nil, 2},
 		{"overlap gives only the new part", "g1", 1, []string{"b", "c", "d"}, Fresh, []string{"c", "d"}, 4},
 		{"gap takes nothing", "g1", 3, []string{"d"}, Gap, nil, 2},
-		{"other generation takes nothing", "g2", 2, []string{"c"}, Foreign, nil, 2},
+		{"other generation takes nothing", "g2", 2, []string{"c"}, OtherGeneration, nil, 2},
 	}
 	for _, tc := range tests {
 		t.Run(tc.name, func(t *testing.T) {
@@ -97,7 +97,7 @@
 			}
 			packed, n, err := b.From(nil, off, 1+rng.IntN(40))
 			if err != nil {
-				c.Assert(err, qt.ErrorIs, ErrPassed, qt.Commentf("seed %d", seed))
+				c.Assert(err, qt.ErrorIs, ErrBeforeWindow, qt.Commentf("seed %d", seed))
 				continue
 			}
 			if rng.IntN(4) == 0 {
@@ -126,14 +126,14 @@
 		c.Assert(b.Held() <= 160, qt.IsTrue)
 	}
 	_, _, err := b.From(nil, 0, 10)
-	c.Assert(err, qt.ErrorIs, ErrPassed)
+	c.Assert(err, qt.ErrorIs, ErrBeforeWindow)
 	packed, n, err := b.From(nil, 990, 1<<10)
 	c.Assert(err, qt.IsNil)
 	c.Assert(n, qt.Equals, 10)
 	first, _, err := Next(packed)
 	c.Assert(err, qt.IsNil)
 	c.Assert(string(first), qt.Equals, "0990")
-	c.Assert(b.Ack(2000), qt.ErrorIs, ErrAhead)
+	c.Assert(b.Ack(2000), qt.ErrorIs, ErrBeyondEnd)
 }
 
 func FuzzReceiver(f *testing.F) {
--- a/node/agent/handle.go
+++ b/node/agent/handle.go
@@ -230,7 +230,7 @@
 		_ = from.Send(&wire.Accepted{Key: m.Key, Generation: s.gen})
 	}
 	err := s.attach(from, m.Offset, m.Key.Attempt == 0)
-	if errors.Is(err, stream.ErrPassed) {
+	if errors.Is(err, stream.ErrBeforeWindow) {
 		_ = from.Send(&wire.Returned{Key: m.Key, Reason: api.ReasonReplayWindowPassed})
 		return
 	}
--- a/node/entry/leg.go
+++ b/node/entry/leg.go
@@ -82,7 +82,7 @@
 		l.refetch()
 	case stream.Duplicate:
 		l.obs.Dropped("duplicate")
-	case stream.Foreign:
+	case stream.OtherGeneration:
 		l.obs.Dropped("foreign")
 	}
 }
