--- a/core/retry/metastable_test.go
+++ b/core/retry/metastable_test.go
@@ -10,70 +10,72 @@
 )
 
 const (
-	servers   = 4
-	service   = 100 * time.Millisecond
-	refusal   = 10 * time.Millisecond
-	queueMost = 400 * time.Millisecond
-	patience  = 5 * time.Second
+	targets        = 4
+	serviceTime    = 100 * time.Millisecond
+	refusalTime    = 10 * time.Millisecond
+	maxQueueWait   = 400 * time.Millisecond
+	callerDeadline = 5 * time.Second
 )
 
-// call is one attempt that is due.
-type call struct {
-	at time.Time
-	a  Attempt
+// arrival is one attempt and the time at which it reaches a target.
+type arrival struct {
+	at      time.Time
+	attempt Attempt
 }
 
-type calls []call
+// arrivalHeap is a min-heap of arrivals by time.
+type arrivalHeap []arrival
 
-func (c calls) Len() int           { return len(c) }
-func (c calls) Less(i, j int) bool { return c[i].at.Before(c[j].at) }
-func (c calls) Swap(i, j int)      { c[i], c[j] = c[j], c[i] }
-func (c *calls) Push(x any)        { *c = append(*c, x.(call)) }
-func (c *calls) Pop() any {
-	old := *c
+func (h arrivalHeap) Len() int           { return len(h) }
+func (h arrivalHeap) Less(i, j int) bool { return h[i].at.Before(h[j].at) }
+func (h arrivalHeap) Swap(i, j int)      { h[i], h[j] = h[j], h[i] }
+func (h *arrivalHeap) Push(x any)        { *h = append(*h, x.(arrival)) }
+func (h *arrivalHeap) Pop() any {
+	old := *h
 	x := old[len(old)-1]
-	*c = old[:len(old)-1]
+	*h = old[:len(old)-1]
 	return x
 }
 
-// crowd runs targets that do one request at a time, and for which even a
-// refusal is work, under a load relative to what they can carry. It gives the
-// requests done in each second, relative to what the targets can carry.
-func crowd(p *Policy, load func(second int) float64, seconds int, rng *rand.Rand) []float64 {
-	var queue calls
-	capacity := float64(servers) / service.Seconds()
+// simulateGoodput simulates targets that serve one request at a time and spend
+// time on refusals too. load is the arrival rate of new requests relative to the
+// capacity of the targets. It returns the requests served in each second, relative
+// to that capacity.
+func simulateGoodput(p *Policy, load func(second int) float64, seconds int, rng *rand.Rand) []float64 {
+	var queue arrivalHeap
+	capacity := float64(targets) / serviceTime.Seconds()
 	for at := 0.0; at < float64(seconds); {
 		at += rng.ExpFloat64() / (capacity * load(int(at)))
 		when := t0.Add(time.Duration(at * float64(time.Second)))
-		heap.Push(&queue, call{at: when, a: Attempt{Customer: "c", Number: 1, Deadline: when.Add(patience)}})
+		heap.Push(&queue, arrival{at: when, attempt: Attempt{Customer: "c", Number: 1, Deadline: when.Add(callerDeadline)}})
 	}
-	done := make([]float64, seconds+10)
-	free := make([]time.Time, servers)
+	served := make([]float64, seconds+10)
+	freeAt := make([]time.Time, targets)
 	for queue.Len() > 0 {
-		c := heap.Pop(&queue).(call)
-		if c.a.Number == 1 {
-			p.First(c.a.Customer, c.at)
+		next := heap.Pop(&queue).(arrival)
+		if next.attempt.Number == 1 {
+			p.First(next.attempt.Customer, next.at)
 		}
-		s := &free[rng.IntN(servers)]
-		if s.Before(c.at) {
-			*s = c.at
+		target := &freeAt[rng.IntN(targets)]
+		if target.Before(next.at) {
+			*target = next.at
 		}
-		if s.Sub(c.at) <= queueMost {
-			*s = s.Add(service)
-			if n := int(s.Sub(t0) / time.Second); n < len(done) {
-				done[n] += 1 / capacity
+		if target.Sub(next.at) <= maxQueueWait {
+			*target = target.Add(serviceTime)
+			if n := int(target.Sub(t0) / time.Second); n < len(served) {
+				served[n] += 1 / capacity
 			}
 			continue
 		}
-		*s = s.Add(refusal)
+		*target = target.Add(refusalTime)
 		err := api.NotRun(api.StepQueue, "", api.ReasonQueueFull, nil)
-		if d := p.Next(c.a, err, 0, true, c.at, rng); d.Retry {
-			c.at = c.at.Add(d.After)
-			c.a.Number++
-			heap.Push(&queue, c)
+		if d := p.Next(next.attempt, err, 0, true, next.at, rng); d.Retry {
+			next.at = next.at.Add(d.After)
+			next.attempt.Number++
+			heap.Push(&queue, next)
 		}
 	}
-	return done[:seconds]
+	return served[:seconds]
 }
 
 func mean(v []float64) float64 {
@@ -84,10 +86,11 @@
 	return s / float64(len(v))
 }
 
-// Load rises to 1.3 for half a minute and falls back to 0.7. Refusing costs the
-// targets a tenth of a request. Callers who are refused come back; without a
-// budget their retries leave no time for requests, so that all are refused, and
-// this goes on after the load has fallen (a metastable state).
+// Guards against metastable collapse. The load rises to 1.3 of the capacity for
+// half a minute and falls back to 0.7. A refusal costs a target a tenth of the
+// time that a request takes, and refused requests are retried. Without a budget
+// the retries leave the targets no time to serve requests, so that nearly all are
+// refused, and this goes on after the load has fallen.
 func TestBudgetPreventsMetastableCollapse(t *testing.T) {
 	load := func(s int) float64 {
 		if s >= 10 && s < 40 {
@@ -95,13 +98,13 @@
 		}
 		return 0.7
 	}
-	many := Options{MaxAttempts: 30, MaxBackoff: 100 * time.Millisecond}
-	free := many
-	free.Customer = BudgetOptions{PerRequest: 1000, Max: 1000}
-	free.Overall = free.Customer
+	budgeted := Options{MaxAttempts: 30, MaxBackoff: 100 * time.Millisecond}
+	unbudgeted := budgeted
+	unbudgeted.Customer = BudgetOptions{PerRequest: 1000, Max: 1000}
+	unbudgeted.Overall = unbudgeted.Customer
 	for seed := range uint64(5) {
-		with := crowd(New(many, counts{}), load, 90, rnd(seed))
-		without := crowd(New(free, counts{}), load, 90, rnd(seed))
+		with := simulateGoodput(New(budgeted, fakeMeter{}), load, 90, newRand(seed))
+		without := simulateGoodput(New(unbudgeted, fakeMeter{}), load, 90, newRand(seed))
 		t.Logf("seed %d: goodput at 1.3 and after: %.2f and %.2f with the budget, %.2f and %.2f without",
 			seed, mean(with[20:40]), mean(with[60:90]), mean(without[20:40]), mean(without[60:90]))
 		if mean(with[20:40]) < 0.85 || mean(with[60:90]) < 0.6 {
--- a/core/retry/retry.go
+++ b/core/retry/retry.go
@@ -1,8 +1,8 @@
-// Package retry decides whether a request that failed is tried again, where not
-// and when. A retry needs proof that the request did not run, or that nothing of
-// a repeatable generation was delivered, and it is paid from a budget: in a
-// crowded hour every request fails at first, and retries without a budget
-// multiply the load that made them fail.
+// Package retry decides whether a failed request is retried, when, and which
+// target the retry excludes. A retry requires proof that the request did not run,
+// or that the request is repeatable and nothing of its response was delivered.
+// Retries are paid for from a token budget: under overload every first attempt
+// fails, and retries without a budget multiply the load that caused the failures.
 package retry
 
 import (
@@ -13,39 +13,44 @@
 	"almondseam.dev/core/api"
 )
 
-// Meter counts decisions. It is called from several goroutines and must not
+// Meter counts decisions. Its methods are called concurrently and must not
 // block.
 type Meter interface {
-	// Retried counts a retry by the reason of the failure.
+	// Retried counts a retry, by the reason of the failed attempt.
 	Retried(r api.Reason)
-	// Denied counts a failure that could have been retried but is not, by why.
-	Denied(w Denial)
+	// Denied counts a failure that was safe to retry but is not retried, by the
+	// reason of the denial.
+	Denied(d Denial)
 }
 
-// Denial says what kept a failure that could be retried from being retried.
+// Denial is the reason why a failure that was safe to retry is not retried.
 type Denial string
 
 const (
-	// DenialBudget: the customer's budget or the one over all is spent.
+	// DenialBudget: the customer's or the overall budget is exhausted.
 	DenialBudget Denial = "budget"
-	// DenialDeadline: the caller will have given up before the retry.
+	// DenialDeadline: the caller's deadline is not after the end of the backoff.
 	DenialDeadline Denial = "deadline"
-	// DenialAttempts: the request has had all its attempts.
+	// DenialAttempts: the request has used all its attempts.
 	DenialAttempts Denial = "attempts"
 )
 
-// Denials lists all values of Denial, for metrics.
+// Denials lists all values of Denial, for metric labels.
 var Denials = []Denial{DenialBudget, DenialDeadline, DenialAttempts}
 
-// Options sets a Policy. A zero field takes its default.
+// Options configures a Policy. A zero field takes its default.
 type Options struct {
-	// MaxAttempts bounds the attempts of one request, the first included; 3.
+	// MaxAttempts bounds the attempts of one request, including the first; the
+	// default is 3.
 	MaxAttempts int
-	// BaseBackoff and MaxBackoff bound the backoff; 25 ms and 2 s.
+	// BaseBackoff is the upper bound of the first backoff. The bound doubles with
+	// each attempt up to MaxBackoff; only a longer RetryAfter raises it further.
+	// The defaults are 25 ms and 2 s.
 	BaseBackoff time.Duration
 	MaxBackoff  time.Duration
-	// Customer and Overall are the budgets; 0.1 a try, with 0.5 a second up to
-	// 5 for one customer, and 2 a second up to 50 for all.
+	// Customer configures the budget of each customer and Overall the one shared
+	// by all. Both default to 0.1 tokens per request; one customer gets another
+	// 0.5 per second up to 5, and all customers together 2 per second up to 50.
 	Customer BudgetOptions
 	Overall  BudgetOptions
 }
@@ -69,75 +74,82 @@
 	return o
 }
 
-// Policy decides on retries. It may be used from several goroutines.
+// Policy decides on retries. It is safe for concurrent use.
 type Policy struct {
-	made    Options // as New took them
+	initial Options // the options passed to New, with defaults applied
 	opts    atomic.Pointer[Options]
 	budgets budgets
 	meter   Meter
 }
 
-// New gives a policy that counts with m.
+// New returns a policy that reports its decisions to m.
 func New(o Options, m Meter) *Policy {
 	o = o.withDefaults()
-	p := &Policy{made: o, meter: m}
+	p := &Policy{initial: o, meter: m}
 	p.opts.Store(&o)
 	return p
 }
 
-// Set bounds the attempts of one request, 1 or more, and sets what a first try
-// adds to either budget, from now on. With perTry 0 no retry is paid for, not
-// even by time. What the budgets hold stays; a decision under way ends by the
-// options that it began with.
-func (p *Policy) Set(attempts int, perTry float64) {
-	o := p.made
-	o.MaxAttempts = max(1, attempts)
-	o.Customer.PerRequest, o.Overall.PerRequest = perTry, perTry
-	if perTry <= 0 {
+// Set changes the maximum number of attempts per request, at least 1, and the
+// tokens that a request's first attempt adds to its customer's budget and to the
+// overall one. With perRequest 0 both budgets have no capacity: the tokens they
+// hold are discarded at their next use, time adds none, and no retry that costs
+// tokens is granted. Otherwise tokens collected so far are kept. A decision in
+// progress uses the options that were in force when it began.
+func (p *Policy) Set(maxAttempts int, perRequest float64) {
+	o := p.initial
+	o.MaxAttempts = max(1, maxAttempts)
+	o.Customer.PerRequest, o.Overall.PerRequest = perRequest, perRequest
+	if perRequest <= 0 {
 		o.Customer, o.Overall = BudgetOptions{}, BudgetOptions{}
 	}
 	p.opts.Store(&o)
 }
 
-// Attempt is one attempt that failed.
+// Attempt describes one attempt of a request.
 type Attempt struct {
 	Customer api.CustomerID
-	// Number counts from 1.
+	// Number is the attempt's number; the first attempt is 1.
 	Number api.Attempt
-	// Target is where it went; empty when no target was chosen.
+	// Target is the target that the attempt was sent to; empty when none was
+	// chosen.
 	Target api.TargetID
-	// Deadline is when the caller gives up; zero means never.
+	// Deadline is when the caller gives up; zero means no deadline.
 	Deadline time.Time
 }
 
-// Decision says what to do after a failed attempt.
+// Decision is the result of Policy.Next for one failed attempt.
 type Decision struct {
-	// Retry says to try again after After, and not on Avoid, which goes into
-	// the request's routing.Query for good.
+	// Retry reports whether to send the request again, after the delay After. The
+	// caller excludes the target Avoid from routing for all further attempts of
+	// this request.
 	Retry bool
 	After time.Duration
 	Avoid api.TargetID
-	// Reason is that of the failure. It is what to tell a caller when Retry is
-	// not set: that the budget is spent would say less of when to come back.
+	// Reason is the reason of the failed attempt. It is what the caller receives
+	// when Retry is false: an exhausted retry budget would tell the caller less
+	// about when to try again.
 	Reason api.Reason
-	// Denial is set when the failure could have been retried and is not.
+	// Denial is set when the failure was safe to retry but is not retried.
 	Denial Denial
 }
 
-// First notes a request's first attempt, which pays into the budgets.
-func (p *Policy) First(c api.CustomerID, now time.Time) { p.budgets.first(p.opts.Load(), c, now) }
+// First credits the first attempt of a request to its customer's budget and to
+// the overall one.
+func (p *Policy) First(c api.CustomerID, now time.Time) { p.budgets.depositBoth(p.opts.Load(), c, now) }
 
-// Next decides on a failed attempt. delivered is the number of tokens or bytes
-// that the caller has been sent; repeatable tells that running the request
-// twice does no harm. rng is used by this call only.
+// Next returns whether and when to retry after the failed attempt a. delivered
+// is the number of tokens or bytes already sent to the caller. repeatable says
+// that running the request twice does no harm. rng must not be used by another
+// goroutine during the call.
 func (p *Policy) Next(a Attempt, err *api.Error, delivered int, repeatable bool, now time.Time, rng *rand.Rand) Decision {
 	d := Decision{Reason: err.Reason, Avoid: a.Target}
-	if !allowed(err, delivered, repeatable) {
+	if !retryable(err, delivered, repeatable) {
 		return d
 	}
 	o := p.opts.Load()
 	d.After = o.backoff(a.Number, err, rng)
-	d.Denial = p.hindrance(o, a, err, d.After, now)
+	d.Denial = p.pay(o, a, err, d.After, now)
 	if d.Denial != "" {
 		p.meter.Denied(d.Denial)
 		return d
@@ -147,68 +159,73 @@
 	return d
 }
 
-// hindrance pays for a retry, or says why there is none.
-func (p *Policy) hindrance(o *Options, a Attempt, err *api.Error, after time.Duration, now time.Time) Denial {
+// pay withdraws the cost of a retry from the budgets, or returns why the retry is
+// denied.
+func (p *Policy) pay(o *Options, a Attempt, err *api.Error, after time.Duration, now time.Time) Denial {
 	switch {
 	case int(a.Number) >= o.MaxAttempts:
 		return DenialAttempts
 	case !a.Deadline.IsZero() && !now.Add(after).Before(a.Deadline):
 		return DenialDeadline
-	case handedBack(err):
+	case returnedByDrain(err):
 		return ""
-	case !p.budgets.take(o, a.Customer, cost(err.Reason), now):
+	case !p.budgets.withdrawBoth(o, a.Customer, cost(err.Reason), now):
 		return DenialBudget
 	default:
 		return ""
 	}
 }
 
-// handedBack tells whether a leaving target gave the request back unstarted.
-// Such a move costs no budget: a target that leaves hands back its whole queue
-// in one instant, far more than the budget holds, and every caller beyond it
-// would be cut off by an orderly restart. No load is multiplied, since no engine
-// has worked on the request, and a target leaves once.
-func handedBack(err *api.Error) bool {
+// returnedByDrain reports whether a draining target returned the request before
+// starting it. Retrying such a request costs no tokens: a draining target returns
+// its whole queue at once, far more than the budget can pay for, so that a planned
+// restart would otherwise fail every request beyond the budget. These retries do
+// not multiply load, since no engine has worked on the request and a target drains
+// only once.
+func returnedByDrain(err *api.Error) bool {
 	return err.Outcome == api.OutcomeNotRun && err.Reason == api.ReasonTargetLeaving
 }
 
-// lossCost is what a retry costs after a loss, where one after a refusal costs 1.
+// lossCost is the cost in tokens of a retry after a loss (see lossReasons); a
+// retry after a refusal costs 1.
 const lossCost = 0.1
 
-// cost gives what a retry takes from the budgets. They are there for refusals,
-// of which a crowded hour makes ever more. A target that is lost fails what it
-// had only once; that isn't free, for a request may be what breaks targets.
+// cost returns the number of tokens that a retry takes from each budget. The
+// budgets exist for refusals, which keep growing in number under overload. A lost
+// target fails its requests only once, so a retry after a loss is cheap; it is
+// not free, because the request itself may be what crashes targets.
 func cost(r api.Reason) float64 {
-	if lost[r] {
+	if lossReasons[r] {
 		return lossCost
 	}
 	return 1
 }
 
-// allowed tells whether trying again is safe and may help.
+// retryable reports whether a retry is safe and may succeed.
 //
-// Safe: it is proved that the request did not run, or it may run twice and the
-// caller has seen nothing of it. Without either, a booking could run twice, or
-// an answer be spliced from two generations.
-func allowed(err *api.Error, delivered int, repeatable bool) bool {
+// A retry is safe if it is proved that the request did not run, or if the request
+// is repeatable and the caller has received nothing of its response. Otherwise a
+// booking could run twice, or one response could combine parts of two
+// generations.
+func retryable(err *api.Error, delivered int, repeatable bool) bool {
 	if delivered > 0 {
 		return false
 	}
 	switch err.Outcome {
 	case api.OutcomeNotRun:
-		return notRun[err.Reason]
+		return refusalReasons[err.Reason]
 	case api.OutcomeInterrupted, api.OutcomeUnknown:
-		return repeatable && lost[err.Reason]
+		return repeatable && lossReasons[err.Reason]
 	default:
 		return false
 	}
 }
 
-// notRun lists the reasons of a refusal after which another target may take the
-// request. A limit or a bad request is the same everywhere, this instance
-// shutting down is not mended by waiting, and where there is no target the caller
-// had better be told at once.
-var notRun = map[api.Reason]bool{
+// refusalReasons lists the reasons, for requests that did not run, after which
+// another target may accept the request. A limit or a bad request is the same at
+// every target, waiting does not help while this instance shuts down, and a
+// caller for whom there is no target should be told at once.
+var refusalReasons = map[api.Reason]bool{
 	api.ReasonQueueFull:         true,
 	api.ReasonDeadlineHopeless:  true,
 	api.ReasonTargetLeaving:     true,
@@ -220,8 +237,9 @@
 	api.ReasonEngineDied:        true,
 }
 
-// lost lists the reasons after which a request may have run in vain.
-var lost = map[api.Reason]bool{
+// lossReasons lists the reasons after which a request may have run while its
+// response was lost.
+var lossReasons = map[api.Reason]bool{
 	api.ReasonTargetGone:        true,
 	api.ReasonLinkLost:          true,
 	api.ReasonIncarnation:       true,
@@ -231,11 +249,13 @@
 	api.ReasonIntegrity:         true,
 }
 
-// backoff doubles with each attempt and is drawn from its upper half, so that
-// callers who failed together don't come back together.
+// backoff returns the delay before the retry that follows attempt n. The upper
+// bound doubles with each attempt, and the delay is drawn from the upper half of
+// the range, so that requests that failed together are not retried together.
 //
-// A RetryAfter that speaks for all targets asked (StepRoute) is waited out. One
-// target's own binds only a return to it, and the retry goes elsewhere.
+// A RetryAfter of StepRoute covers all targets asked, so the delay is at least as
+// long. One target's own RetryAfter is ignored, since the retry excludes that
+// target.
 func (o *Options) backoff(n api.Attempt, err *api.Error, rng *rand.Rand) time.Duration {
 	d := o.MaxBackoff
 	if n < 16 {
--- a/core/retry/retry_test.go
+++ b/core/retry/retry_test.go
@@ -11,12 +11,12 @@
 
 var t0 = time.Date(2026, 12, 2, 12, 0, 0, 0, time.UTC)
 
-type counts map[api.Reason]int
+type fakeMeter map[api.Reason]int
 
-func (c counts) Retried(r api.Reason) { c[r]++ }
-func (c counts) Denied(w Denial)      { c["not: "+api.Reason(w)]++ }
+func (m fakeMeter) Retried(r api.Reason) { m[r]++ }
+func (m fakeMeter) Denied(d Denial)      { m["not: "+api.Reason(d)]++ }
 
-func rnd(seed uint64) *rand.Rand { return rand.New(rand.NewPCG(seed, 3)) }
+func newRand(seed uint64) *rand.Rand { return rand.New(rand.NewPCG(seed, 3)) }
 
 func TestNext(t *testing.T) {
 	first := Attempt{Customer: "c", Number: 1, Target: "t1"}
@@ -48,14 +48,14 @@
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
 			c := qt.New(t)
-			m := counts{}
+			m := fakeMeter{}
 			p := New(Options{}, m)
-			d := p.Next(tt.a, &api.Error{Outcome: tt.outcome, Reason: tt.reason}, tt.delivered, tt.repeatable, t0, rnd(1))
+			d := p.Next(tt.a, &api.Error{Outcome: tt.outcome, Reason: tt.reason}, tt.delivered, tt.repeatable, t0, newRand(1))
 			c.Assert(d.Retry, qt.Equals, tt.retry)
 			c.Assert(d.Reason, qt.Equals, tt.reason)
 			c.Assert(d.Avoid, qt.Equals, tt.a.Target)
 			if tt.counted != "" {
-				c.Assert(m, qt.DeepEquals, counts{tt.counted: 1})
+				c.Assert(m, qt.DeepEquals, fakeMeter{tt.counted: 1})
 			} else {
 				c.Assert(m, qt.HasLen, 0)
 			}
@@ -65,30 +65,30 @@
 
 func TestBackoff(t *testing.T) {
 	c := qt.New(t)
-	p := New(Options{}, counts{}).opts.Load()
+	p := New(Options{}, fakeMeter{}).opts.Load()
 	route := &api.Error{Step: api.StepRoute, RetryAfter: 3 * time.Second}
 	queue := &api.Error{Step: api.StepQueue, RetryAfter: 3 * time.Second}
 	for seed := range uint64(20) {
-		c.Assert(p.backoff(1, route, rnd(seed)) >= 3*time.Second, qt.IsTrue)
-		c.Assert(p.backoff(2, queue, rnd(seed)) <= 50*time.Millisecond, qt.IsTrue)
-		c.Assert(p.backoff(40, queue, rnd(seed)) <= 2*time.Second, qt.IsTrue)
+		c.Assert(p.backoff(1, route, newRand(seed)) >= 3*time.Second, qt.IsTrue)
+		c.Assert(p.backoff(2, queue, newRand(seed)) <= 50*time.Millisecond, qt.IsTrue)
+		c.Assert(p.backoff(40, queue, newRand(seed)) <= 2*time.Second, qt.IsTrue)
 	}
 }
 
-// One customer whose requests all fail must not spend what the others may
-// retry, and all together must not pass the overall budget.
+// Guards against one customer whose requests all fail using up the retries of
+// the others, and against all customers together exceeding the overall budget.
 func TestBudgets(t *testing.T) {
 	c := qt.New(t)
 	o := Options{
 		Customer: BudgetOptions{PerRequest: 0.1, PerSecond: 0.5, Max: 5},
 		Overall:  BudgetOptions{PerSecond: 1, Max: 12},
 	}
-	p := New(o, counts{})
+	p := New(o, fakeMeter{})
 	reason := api.ReasonQueueFull
 	fail := func(customer api.CustomerID, n int, now time.Time) (retries int) {
 		for range n {
 			p.First(customer, now)
-			d := p.Next(Attempt{Customer: customer, Number: 1}, &api.Error{Outcome: api.OutcomeNotRun, Reason: reason}, 0, false, now, rnd(1))
+			d := p.Next(Attempt{Customer: customer, Number: 1}, &api.Error{Outcome: api.OutcomeNotRun, Reason: reason}, 0, false, now, newRand(1))
 			if d.Retry {
 				retries++
 			} else {
@@ -97,22 +97,24 @@
 		}
 		return retries
 	}
-	// 5 saved and one for ten tries, the first of which finds the bucket full;
-	// then what is left of 12 overall.
+	// The full bucket pays for 5 retries, and the requests pay for one more per ten;
+	// the first of the 50 requests finds the bucket full and adds nothing. The next
+	// customer gets the tokens left of the 12 overall.
 	c.Assert(fail("large", 50, t0), qt.Equals, 9)
 	c.Assert(fail("small", 10, t0), qt.Equals, 3)
 	c.Assert(fail("third", 10, t0), qt.Equals, 0)
 	c.Assert(fail("large", 1, t0.Add(2*time.Second)), qt.Equals, 1)
 
-	// One engine is lost: what it had moves, far more than refusals may.
-	p = New(o, counts{})
+	// After the loss of an engine, its requests are retried at a tenth of the cost,
+	// so that far more of them are retried than after refusals.
+	p = New(o, fakeMeter{})
 	reason = api.ReasonEngineDied
 	c.Assert(fail("large", 200, t0), qt.Equals, 120)
 }
 
-// A target with a long queue leaves and hands all of it back at once. Every
-// request is placed elsewhere, although the budgets would pay for a few only;
-// any other reason goes on being paid for.
+// A draining target returns its whole queue at once. Every one of these requests
+// is retried although the budgets could pay for only a few. Retries for any other
+// reason still cost tokens, and the limit on attempts still applies.
 func TestQueueOfALeavingTargetMovesWithoutBudget(t *testing.T) {
 	c := qt.New(t)
 	p := New(Options{Customer: BudgetOptions{PerRequest: 0.001, PerSecond: 0.001, Max: 1}}, nopMeter{})
@@ -133,15 +135,15 @@
 func (nopMeter) Retried(api.Reason) {}
 func (nopMeter) Denied(Denial)      {}
 
-// Attempts and budget are changed between failures: the next decision goes by
-// the new ones, also after the budget was shut and opened again.
+// Set takes effect with the next decision, also when it disables the budget and
+// later enables it again.
 func TestSetChangesTheNextDecision(t *testing.T) {
 	c := qt.New(t)
-	m := counts{}
+	m := fakeMeter{}
 	p := New(Options{}, m)
 	refused := &api.Error{Outcome: api.OutcomeNotRun, Reason: api.ReasonQueueFull}
 	next := func(number api.Attempt, now time.Time) Denial {
-		return p.Next(Attempt{Customer: "c", Number: number}, refused, 0, true, now, rnd(1)).Denial
+		return p.Next(Attempt{Customer: "c", Number: number}, refused, 0, true, now, newRand(1)).Denial
 	}
 	c.Assert(next(1, t0), qt.Equals, Denial(""))
 	p.Set(1, 0.1)
