--- a/core/stream/packed.go
+++ b/core/stream/packed.go
@@ -1,10 +1,11 @@
-// Package stream keeps one generation whole on its way from an agent to a
-// caller: the agent's Buffer holds items until they are acknowledged and a while
-// longer for a caller that returns; the entry's Receiver lets each item through
-// once, in order, from one generation, and checks the total at the end.
+// Package stream transfers the items of one generation from an agent to a caller
+// without loss, duplication or reordering. The agent's Buffer holds items until
+// they are acknowledged, and some of them longer for a caller that reconnects.
+// The entry's Receiver accepts each item once, in order and from one generation
+// only, and checks the number of items and their checksum at the end.
 //
-// An item is an opaque run of bytes. Items travel packed: each is preceded by
-// its length as an unsigned varint.
+// An item is an opaque byte string. A packed item is preceded by its length as an
+// unsigned varint; a packed run is a concatenation of packed items.
 package stream
 
 import (
@@ -13,16 +14,18 @@
 	"fmt"
 )
 
-// ErrPacked reports a packed run whose lengths do not add up.
+// ErrPacked is returned for a malformed packed run or a run whose number of items
+// differs from the stated one.
 var ErrPacked = errors.New("stream: packed items are malformed")
 
-// Append packs one item onto dst.
+// Append appends one packed item to dst.
 func Append(dst, item []byte) []byte {
 	dst = binary.AppendUvarint(dst, uint64(len(item)))
 	return append(dst, item...)
 }
 
-// Next splits the first item off a packed run. The item aliases packed.
+// Next returns the first item of a packed run and the rest of the run. Both alias
+// packed.
 func Next(packed []byte) (item, rest []byte, err error) {
 	n, w := binary.Uvarint(packed)
 	if w <= 0 || n > uint64(len(packed)-w) {
@@ -32,7 +35,8 @@
 	return packed[w:end], packed[end:], nil
 }
 
-// Count checks a packed run and counts its items.
+// Count returns the number of items in a packed run, or ErrPacked if the run is
+// malformed.
 func Count(packed []byte) (int, error) {
 	n := 0
 	for len(packed) > 0 {
@@ -46,7 +50,7 @@
 	return n, nil
 }
 
-// skip drops the first n items of a packed run.
+// skip returns a packed run without its first n items.
 func skip(packed []byte, n uint64) ([]byte, error) {
 	for range n {
 		_, rest, err := Next(packed)
--- a/core/stream/receiver.go
+++ b/core/stream/receiver.go
@@ -7,44 +7,47 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Verdict tells what became of a received run.
+// Verdict is the result of Receiver.Accept for a received packed run.
 type Verdict uint8
 
 const (
-	// Fresh: at least one item was new.
+	// Fresh: the run contained at least one new item.
 	Fresh Verdict = iota
-	// Duplicate: every item had been received before.
+	// Duplicate: every item of the run had been received before.
 	Duplicate
-	// Gap: items are missing in front of it; nothing was taken. The receiver
-	// asks for a resume from Next.
+	// Gap: items before the run are missing, and nothing was accepted. The entry
+	// requests a resume from Receiver.Next.
 	Gap
-	// OtherGeneration: it belongs to another generation; nothing was taken.
+	// OtherGeneration: the run belongs to another generation, and nothing was
+	// accepted.
 	OtherGeneration
 )
 
-// Receiver is the entry's end of one generation. The generation is fixed by the
-// first item: without that, a request started twice could splice the beginning
-// of one answer to the end of another, and the caller would see a fluent text
-// that no engine ever wrote. Comparing the ID on every run is enough, since an
-// agent makes a new ID for each start. Not safe for concurrent use.
+// Receiver is the entry's end of the transfer of one generation. The first run
+// accepted fixes the generation, and runs of any other generation are rejected.
+// Otherwise, if a request was started twice, the beginning of one response could
+// be followed by the end of another, and the caller would receive a plausible text
+// that no engine generated. Comparing the generation ID of every run is enough,
+// since an agent creates a new ID for each start. A Receiver is not safe for
+// concurrent use.
 type Receiver struct {
 	gen  api.GenerationID
 	next uint64
 	sum  xxhash.Digest
-	// partial is set when the first items went to an earlier receiver: the
-	// checksum covers them too, so that only the count can be compared.
+	// partial is set when an earlier receiver got the first items. The sender's
+	// checksum covers those items too, so that only the count can be compared.
 	partial bool
 }
 
-// NewReceiver makes a receiver that expects offset 0 of any generation.
+// NewReceiver returns a receiver that expects offset 0 of any generation.
 func NewReceiver() *Receiver {
 	r := &Receiver{}
 	r.sum.Reset()
 	return r
 }
 
-// NewReceiverAt makes a receiver for a caller that comes back with the items
-// below off of gen already in its hands.
+// NewReceiverAt returns a receiver for a caller that reconnects and already has
+// the items of gen below off.
 func NewReceiverAt(gen api.GenerationID, off uint64) *Receiver {
 	r := NewReceiver()
 	r.gen = gen
@@ -53,14 +56,16 @@
 	return r
 }
 
-// Generation is the generation fixed by the first item, or "".
+// Generation returns the generation that this receiver accepts, or "" if it
+// accepts any.
 func (r *Receiver) Generation() api.GenerationID { return r.gen }
 
-// Next is the offset of the item expected next.
+// Next returns the offset of the next expected item.
 func (r *Receiver) Next() uint64 { return r.next }
 
-// Accept takes a run of n packed items that starts at off. It gives the part
-// of packed that is new, aliasing packed.
+// Accept processes a packed run of n items that starts at offset off of gen. It
+// returns the part of packed that is new, which aliases packed, the number of new
+// items, and the verdict. With an error nothing was accepted.
 func (r *Receiver) Accept(gen api.GenerationID, off uint64, n int, packed []byte) ([]byte, int, Verdict, error) {
 	if r.gen != "" && r.gen != gen {
 		return nil, 0, OtherGeneration, nil
@@ -71,37 +76,37 @@
 	if off+uint64(n) <= r.next {
 		return nil, 0, Duplicate, nil
 	}
-	have, err := Count(packed)
+	count, err := Count(packed)
 	if err != nil {
 		return nil, 0, Gap, err
 	}
-	if have != n {
-		return nil, 0, Gap, fmt.Errorf("run says %d items and holds %d: %w", n, have, ErrPacked)
+	if count != n {
+		return nil, 0, Gap, fmt.Errorf("run states %d items but contains %d: %w", n, count, ErrPacked)
 	}
-	known := r.next - off
-	fresh, err := skip(packed, known)
+	duplicates := r.next - off
+	fresh, err := skip(packed, duplicates)
 	if err != nil {
 		return nil, 0, Gap, err
 	}
 	r.gen = gen
 	_, _ = r.sum.Write(fresh)
 	r.next = off + uint64(n)
-	return fresh, n - int(known), Fresh, nil
+	return fresh, n - int(duplicates), Fresh, nil
 }
 
-// Complete compares the final frame's count and checksum with what was
-// received. A count beyond Next means that items are still missing; the
-// receiver then resumes. Any other difference is an integrity failure: a short
-// answer must never pass as a whole one.
+// Complete compares the item count and checksum of the final frame with the items
+// received. A count beyond Next means that items are missing, and the entry then
+// requests a resume. Any other difference is an integrity error: a truncated
+// response must never pass as a complete one.
 func (r *Receiver) Complete(gen api.GenerationID, count, sum uint64) (missing bool, err error) {
 	if r.gen != "" && gen != r.gen {
-		return false, fmt.Errorf("final of generation %s, received %s", gen, r.gen)
+		return false, fmt.Errorf("final frame is of generation %s, but received items are of %s", gen, r.gen)
 	}
 	if count > r.next {
 		return true, nil
 	}
 	if count < r.next || !r.partial && sum != r.sum.Sum64() {
-		return false, fmt.Errorf("received %d items, final says %d", r.next, count)
+		return false, fmt.Errorf("received %d items, which do not match the count %d or the checksum of the final frame", r.next, count)
 	}
 	return false, nil
 }
--- a/core/stream/stream_test.go
+++ b/core/stream/stream_test.go
@@ -9,7 +9,8 @@
 	qt "github.com/frankban/quicktest"
 )
 
-func run(items ...string) []byte {
+// packedRun returns the packed run of items.
+func packedRun(items ...string) []byte {
 	var p []byte
 	for _, it := range items {
 		p = Append(p, []byte(it))
@@ -37,32 +38,33 @@
 		t.Run(tc.name, func(t *testing.T) {
 			c := qt.New(t)
 			r := NewReceiver()
-			_, _, _, err := r.Accept("g1", 0, 2, run("a", "b"))
+			_, _, _, err := r.Accept("g1", 0, 2, packedRun("a", "b"))
 			c.Assert(err, qt.IsNil)
-			fresh, _, v, err := r.Accept(tc.gen, tc.off, len(tc.items), run(tc.items...))
+			fresh, _, v, err := r.Accept(tc.gen, tc.off, len(tc.items), packedRun(tc.items...))
 			c.Assert(err, qt.IsNil)
 			c.Assert(v, qt.Equals, tc.want)
-			c.Assert(fresh, qt.DeepEquals, run(tc.fresh...))
+			c.Assert(fresh, qt.DeepEquals, packedRun(tc.fresh...))
 			c.Assert(r.Next(), qt.Equals, tc.nextOff)
 		})
 	}
 }
 
-// The engine dies and its last frames are lost. The caller must see an error,
-// never a short text that looks whole: count and checksum of the final frame
-// are compared before the end is passed on.
+// Guards against a response that passes as complete although items are missing or
+// altered, as when an engine dies and its last frames are lost. Missing items must
+// be reported as missing, and altered ones must fail the comparison with the final
+// frame.
 func TestReceiverNeverPassesShortAnswer(t *testing.T) {
 	c := qt.New(t)
 	b := NewBuffer(1 << 10)
 	b.Append([]byte("a"))
 	b.Append([]byte("b"))
 	r := NewReceiver()
-	_, _, _, err := r.Accept("g", 0, 1, run("a"))
+	_, _, _, err := r.Accept("g", 0, 1, packedRun("a"))
 	c.Assert(err, qt.IsNil)
 	missing, err := r.Complete("g", b.End(), b.Sum())
 	c.Assert(err, qt.IsNil)
 	c.Assert(missing, qt.IsTrue)
-	_, _, _, err = r.Accept("g", 1, 1, run("X"))
+	_, _, _, err = r.Accept("g", 1, 1, packedRun("X"))
 	c.Assert(err, qt.IsNil)
 	_, err = r.Complete("g", b.End(), b.Sum())
 	c.Assert(err, qt.ErrorMatches, "received 2 items.*")
@@ -70,13 +72,13 @@
 
 func TestReceiverRefusesMiscountedRun(t *testing.T) {
 	c := qt.New(t)
-	_, _, _, err := NewReceiver().Accept("g", 0, 3, run("a", "b"))
+	_, _, _, err := NewReceiver().Accept("g", 0, 3, packedRun("a", "b"))
 	c.Assert(err, qt.ErrorIs, ErrPacked)
 }
 
-// Frames are lost, repeated and reordered between agent and entry, and the
-// entry resumes from its next offset. Whatever the order, the caller receives
-// every item once, in order.
+// Runs of items are lost or sent again between agent and entry, and the entry
+// resumes at its next offset or a few items earlier. The caller must receive every
+// item once and in order.
 func TestLossyTransferDeliversOnceInOrder(t *testing.T) {
 	for seed := range uint64(200) {
 		c := qt.New(t)
@@ -101,7 +103,7 @@
 				continue
 			}
 			if rng.IntN(4) == 0 {
-				continue // lost
+				continue // the run is lost
 			}
 			fresh, _, _, err := r.Accept("g", off, n, packed)
 			c.Assert(err, qt.IsNil)
