--- a/core/claim/claim.go
+++ b/core/claim/claim.go
@@ -1,14 +1,14 @@
-// Package claim decides which dispatch of a call that must not be repeated may
-// run. A claim (customer, idempotency key, request digest) is granted once; the
-// grant names a target and its incarnation. The same key asked again attaches to
-// the running call, gets the kept answer, or is told that nothing proves what
-// became of it. A key is granted a second time only after proof that the first
-// grant's dispatch did not start and never will.
+// Package claim ensures that a call that must not be repeated is dispatched at most
+// once. A claim (customer, idempotency key, request digest) is granted once, for
+// one incarnation of one target. A second request with the same key learns that
+// the call is in progress, gets the stored answer, or learns that nothing proves
+// whether the call ran. While a claim is remembered, its key is granted again only
+// after proof that the dispatch of the earlier grant did not start and never will.
 //
 // Table is a deterministic state machine: the same operations with the same
-// arguments give the same answers on every member. Time is an argument in
-// milliseconds of the replicated clock and never goes back. Table is not safe
-// for concurrent use.
+// arguments return the same results on every member. Time is passed as an argument,
+// in milliseconds of the replicated clock, and never goes backwards. Table is not
+// safe for concurrent use.
 package claim
 
 import (
@@ -18,7 +18,8 @@
 	"almondseam.dev/core/api"
 )
 
-// Key names what must run at most once: the customer's own idempotency key.
+// Key identifies a call that must run at most once, by the customer and the
+// customer's own idempotency key.
 type Key struct {
 	Customer api.CustomerID `cbor:"1,keyasint"`
 	Name     string         `cbor:"2,keyasint"`
@@ -27,18 +28,18 @@
 // Digest is the SHA-256 of the request's method, path and body.
 type Digest [32]byte
 
-// State is what is known of a claim.
+// State is the state of a claim.
 type State uint8
 
-// The states. Released claims may be granted again; the others never are.
+// The states. Only a released claim may be granted to another claimant.
 const (
 	// StateClaimed: granted; the dispatch may or may not have started.
 	StateClaimed State = iota + 1
-	// StateStarted: the agent said that the call was handed to its target.
+	// StateStarted: the agent reported that it passed the call to its target.
 	StateStarted
-	// StateSettled: the outcome is known, or known to be unknowable.
+	// StateSettled: an outcome was reported, which may be unknown.
 	StateSettled
-	// StateReleased: it is proved that the dispatch did not and will not start.
+	// StateReleased: it is proved that the dispatch did not start and never will.
 	StateReleased
 )
 
@@ -49,18 +50,19 @@
 	StateReleased: "released",
 }
 
-// String gives the state in lower case.
+// String returns the name of the state in lower case.
 func (s State) String() string { return stateNames[s] }
 
-// Place is where a grant may run: one incarnation of one target's agent.
+// Place identifies where a granted call may run: at one incarnation of the agent of
+// one target.
 type Place struct {
 	Target      api.TargetID    `cbor:"1,keyasint"`
 	Incarnation api.Incarnation `cbor:"2,keyasint"`
 }
 
-// Record is one claim. Grant is the log index of the grant in force: it fences
-// the reports about an earlier grant of the same key. Times are milliseconds of
-// the replicated clock.
+// Record is one claim. Grant is the log index of the latest grant and serves as a
+// fencing token: reports about an earlier grant of the same key are rejected.
+// Claimed and Settled are times in milliseconds of the replicated clock.
 type Record struct {
 	Key      Key           `cbor:"1,keyasint"`
 	Digest   Digest        `cbor:"2,keyasint"`
@@ -71,20 +73,22 @@
 	Claimant string        `cbor:"7,keyasint"`
 	Request  api.RequestID `cbor:"8,keyasint"`
 	Claimed  int64         `cbor:"9,keyasint"`
-	// Outcome, Status and Answer are set once settled. Kept tells that Answer
-	// is the whole answer; it is false once the answer was let go of.
+	// Outcome, Status and Answer are set when the claim is settled. Kept reports
+	// whether Answer holds the complete answer. It is false if the outcome is not
+	// completed, if the answer was too large, and after the answer was dropped.
 	Outcome api.Outcome `cbor:"10,keyasint,omitempty"`
 	Status  int         `cbor:"11,keyasint,omitempty"`
 	Answer  []byte      `cbor:"12,keyasint,omitempty"`
 	Kept    bool        `cbor:"13,keyasint,omitempty"`
 	Settled int64       `cbor:"14,keyasint,omitempty"`
-	// SettledAt is the log index of the settlement; answers leave in its order.
+	// SettledAt is the log index of the settlement. Answers are dropped in the
+	// order of SettledAt.
 	SettledAt uint64 `cbor:"15,keyasint,omitempty"`
 }
 
-// Request asks for a grant. Claimant is unique to one call at one entry, so that
-// the same request resent after its answer was lost gets the grant again, while
-// a second call with the same key does not.
+// Request asks for a grant. Claimant is unique to one attempt of one call at one
+// entry: the same request, sent again after its response was lost, gets the same
+// grant, while a second call with the same key does not.
 type Request struct {
 	Key      Key           `cbor:"1,keyasint"`
 	Digest   Digest        `cbor:"2,keyasint"`
@@ -93,45 +97,52 @@
 	Request  api.RequestID `cbor:"5,keyasint"`
 }
 
-// Report tells what became of a grant. Outcome not_run is proof that the
-// dispatch did not start and never will; it releases the claim. An entry that
-// gave up before it learnt its grant leaves Grant zero and names the Claimant.
+// Report states how the dispatch of a grant ended, or that it started. Outcome
+// not_run is proof that the dispatch did not start and never will, and releases the
+// claim. An entry that gave up before it received its grant leaves Grant zero and
+// sets Claimant.
 type Report struct {
 	Key   Key    `cbor:"1,keyasint"`
 	Grant uint64 `cbor:"2,keyasint"`
-	// Started marks the start and leaves the rest unset.
+	// Started reports the start of the dispatch; the fields about the outcome are
+	// then unset.
 	Started bool        `cbor:"3,keyasint,omitempty"`
 	Outcome api.Outcome `cbor:"4,keyasint,omitempty"`
 	Status  int         `cbor:"5,keyasint,omitempty"`
 	Answer  []byte      `cbor:"6,keyasint,omitempty"`
-	// Claimant stands in for an unknown Grant.
+	// Claimant identifies the grant when Grant is zero.
 	Claimant string `cbor:"7,keyasint,omitempty"`
 }
 
-// about tells whether the report speaks of the record's present grant.
-func (r Report) about(rec Record) bool {
+// appliesTo reports whether the report is about the latest grant of the record.
+func (r Report) appliesTo(rec Record) bool {
 	if r.Grant == 0 {
 		return r.Claimant != "" && r.Claimant == rec.Claimant
 	}
 	return r.Grant == rec.Grant
 }
 
-// Verdict answers a Request.
+// Verdict is the result of a Request.
 type Verdict uint8
 
 // The verdicts.
 const (
-	// Granted: the asker, and nobody else, may dispatch once to the place.
+	// Granted: this claimant, and no other, may dispatch the call once, to the place
+	// in the record.
 	Granted Verdict = iota + 1
-	// InProgress: another call holds the grant; attach to it at its place.
+	// InProgress: the key was granted and its call may still be running, or the
+	// request is a late duplicate from a claimant that has released its grant or
+	// may no longer dispatch.
 	InProgress
-	// Answered: settled; the record holds the outcome and perhaps the answer.
+	// Answered: the claim is settled; the record holds the outcome and, if it was
+	// kept, the answer.
 	Answered
-	// Undecided: nothing proves whether the call ran, and it is not run again.
+	// Undecided: nothing proves whether the call ran, and it must not run again.
 	Undecided
 	// Conflict: the key was used for another request.
 	Conflict
-	// Full: the customer's or the table's bound is reached. Nothing was granted.
+	// Full: the limit on claims of the customer or of the table is reached, and
+	// nothing was granted.
 	Full
 )
 
@@ -144,10 +155,10 @@
 	Full:       "full",
 }
 
-// String gives the verdict in lower case.
+// String returns the name of the verdict in lower case.
 func (v Verdict) String() string { return verdictNames[v] }
 
-// Reason gives the refusal's reason; empty when the verdict is no refusal.
+// Reason returns the reason of a refusal, or "" if the verdict is not a refusal.
 func (v Verdict) Reason() api.Reason {
 	switch v {
 	case InProgress:
@@ -162,62 +173,68 @@
 	return ""
 }
 
-// Decision is the answer to a Request. Record is a copy of the claim as it now
-// stands; on Conflict and Full it is zero, for it is not the asker's.
+// Decision is the response to a Request. Record is a copy of the claim after the
+// request. It is zero with the verdicts Conflict and Full, since any claim of the
+// key then belongs to another request.
 type Decision struct {
 	Verdict Verdict `cbor:"1,keyasint"`
 	Record  Record  `cbor:"2,keyasint"`
 }
 
-// Refusals of a Report. None of them changes the claim.
+// Errors of Table.Report. A rejected report does not change the claim.
 var (
-	// ErrNoClaim: the key isn't known, or no longer.
+	// ErrNoClaim: there is no claim with this key, or it has expired.
 	ErrNoClaim = errors.New("no such claim")
-	// ErrOldGrant: the report is about a grant that has been released since.
+	// ErrOldGrant: the report is not about the latest grant of the key.
 	ErrOldGrant = errors.New("report is about an earlier grant")
-	// ErrSettled: the claim already has another outcome.
+	// ErrSettled: the report contradicts what is known. The claim is settled with
+	// another outcome, or was released, or, for a proof of not_run, has started.
 	ErrSettled = errors.New("claim is already settled")
-	// ErrBadOutcome: the report has no outcome that a claim can have.
+	// ErrBadOutcome: the report has no outcome or an unknown one.
 	ErrBadOutcome = errors.New("report has no valid outcome")
 )
 
-// Limits bound the table. They are part of the replicated state's definition:
-// every member must use the same ones.
+// Limits bound the size of a Table and the age of its contents. Since the
+// replicated state depends on them, every member must use the same limits.
 type Limits struct {
 	Window Window
-	// Retain is how long a claim is remembered after its grant: for so long the
-	// same key can't run again. It must exceed Window.Total.
-	Retain time.Duration
-	// KeepAnswer is how long an answer is kept after it was settled.
-	KeepAnswer time.Duration
-	// MaxAnswer bounds one kept answer, MaxAnswers all of them, in bytes.
-	MaxAnswer  int
-	MaxAnswers int
-	// MaxClaims and MaxPerCustomer bound the number of claims. A full table
-	// refuses; forgetting a claim early would let its key run twice.
+	// ClaimRetention is how long a claim is remembered after its latest grant. During
+	// that time the key can't run again. ClaimRetention must exceed Window.Total.
+	ClaimRetention time.Duration
+	// AnswerRetention is how long an answer is kept after its claim was settled.
+	AnswerRetention time.Duration
+	// MaxAnswerBytes bounds the size of one kept answer, and MaxTotalAnswerBytes the
+	// total size of all kept answers.
+	MaxAnswerBytes      int
+	MaxTotalAnswerBytes int
+	// MaxClaims and MaxPerCustomer bound the number of claims. A full table rejects
+	// new claims rather than remove old ones early, since a call could run twice
+	// after its claim was removed.
 	MaxClaims      int
 	MaxPerCustomer int
 }
 
-// DefaultLimits are those of a fleet of two years from now: about 60 MB.
+// DefaultLimits returns limits sized for the fleet expected in two years. A full
+// table then takes about 60 MB.
 func DefaultLimits() Limits {
 	return Limits{
-		Window:         DefaultWindow(),
-		Retain:         24 * time.Hour,
-		KeepAnswer:     time.Hour,
-		MaxAnswer:      16 << 10,
-		MaxAnswers:     24 << 20,
-		MaxClaims:      120_000,
-		MaxPerCustomer: 30_000,
+		Window:              DefaultWindow(),
+		ClaimRetention:      24 * time.Hour,
+		AnswerRetention:     time.Hour,
+		MaxAnswerBytes:      16 << 10,
+		MaxTotalAnswerBytes: 24 << 20,
+		MaxClaims:           120_000,
+		MaxPerCustomer:      30_000,
 	}
 }
 
-// Validate tells whether the limits keep the promise.
+// Validate returns an error if claims could be forgotten while their dispatch may
+// still start, or if a limit on claims or answers is too small.
 func (l Limits) Validate() error {
-	if l.Retain <= l.Window.Total() {
+	if l.ClaimRetention <= l.Window.Total() {
 		return errors.New("claims are forgotten before their dispatch can no longer start")
 	}
-	if l.MaxAnswer < 0 || l.MaxAnswers < l.MaxAnswer || l.MaxClaims < 1 || l.MaxPerCustomer < 1 {
+	if l.MaxAnswerBytes < 0 || l.MaxTotalAnswerBytes < l.MaxAnswerBytes || l.MaxClaims < 1 || l.MaxPerCustomer < 1 {
 		return errors.New("a bound on claims is too small")
 	}
 	return nil
--- a/core/claim/once_test.go
+++ b/core/claim/once_test.go
@@ -13,146 +13,151 @@
 
 func TestMain(m *testing.M) {
 	flag.Parse()
-	// A fixed seed: every run reaches the same verdict.
+	// The fixed seed makes every run check the same cases.
 	_ = flag.Set("rapid.seed", "20261202")
 	_ = flag.Set("rapid.checks", "300")
 	_ = flag.Set("rapid.nofailfile", "true")
 	os.Exit(m.Run())
 }
 
-// world is one target's agent, entries that crash, and links that delay and
-// repeat. Real time runs ahead of the replicated clock, as it does without a
-// leader.
-type world struct {
-	table   *Table
-	limits  Limits
-	index   uint64
-	real    time.Duration
-	rep     int64
-	inc     api.Incarnation
-	barred  map[uint64]bool
-	inAir   []dispatch
-	reports []Report
-	starts  map[string]int
-	calls   int
+// model simulates the agent of one target, entries that crash, and links that delay
+// and duplicate messages. Real time runs ahead of the replicated clock, as it does
+// while there is no leader.
+type model struct {
+	table            *Table
+	limits           Limits
+	index            uint64
+	realTime         time.Duration
+	replicatedMillis int64
+	incarnation      api.Incarnation
+	// closed holds the grants that the agent has started or has promised never to
+	// start.
+	closed   map[uint64]bool
+	inFlight []dispatch
+	reports  []Report
+	starts   map[string]int
+	requests int
 }
 
 type dispatch struct {
-	key   Key
-	grant uint64
-	inc   api.Incarnation
-	echo  time.Duration
+	key         Key
+	grant       uint64
+	incarnation api.Incarnation
+	echo        time.Duration
 }
 
-func (w *world) claim(t *rapid.T) {
-	asked := w.real
+func (m *model) requestGrant(t *rapid.T) {
+	requested := m.realTime
 	key := Key{"c", rapid.SampledFrom([]string{"1", "2"}).Draw(t, "key")}
-	w.calls++
-	req := Request{Key: key, Place: Place{"t", w.inc}, Claimant: string(rune('a' + w.calls%1000))}
-	w.index++
-	d := w.table.Claim(w.index, w.rep, req)
+	m.requests++
+	req := Request{Key: key, Place: Place{"t", m.incarnation}, Claimant: string(rune('a' + m.requests%1000))}
+	m.index++
+	d := m.table.Claim(m.index, m.replicatedMillis, req)
 	if d.Verdict != Granted {
 		return
 	}
-	w.pass(t)
-	echo := w.real
-	w.pass(t)
-	if w.real-asked > w.limits.Window.Dispatch {
+	m.advanceTime(t)
+	echo := m.realTime
+	m.advanceTime(t)
+	if m.realTime-requested > m.limits.Window.Dispatch {
 		return
 	}
 	copies := rapid.IntRange(0, 2).Draw(t, "copies")
 	for range copies {
-		w.inAir = append(w.inAir, dispatch{key, d.Record.Grant, d.Record.Place.Incarnation, echo})
+		m.inFlight = append(m.inFlight, dispatch{key, d.Record.Grant, d.Record.Place.Incarnation, echo})
 	}
 }
 
-// arrive hands one dispatch to the agent, which keeps no state over a restart.
-func (w *world) arrive(t *rapid.T) {
-	if len(w.inAir) == 0 {
+// deliverDispatch delivers one dispatch to the agent, which keeps no state across a
+// restart.
+func (m *model) deliverDispatch(t *rapid.T) {
+	if len(m.inFlight) == 0 {
 		return
 	}
-	i := rapid.IntRange(0, len(w.inAir)-1).Draw(t, "which")
-	d := w.inAir[i]
-	if d.inc != w.inc || w.barred[d.grant] || !w.limits.Window.MayStart(d.echo, w.real) {
+	i := rapid.IntRange(0, len(m.inFlight)-1).Draw(t, "which")
+	d := m.inFlight[i]
+	if d.incarnation != m.incarnation || m.closed[d.grant] || !m.limits.Window.MayStart(d.echo, m.realTime) {
 		return
 	}
-	w.barred[d.grant] = true
-	w.starts[d.key.Name]++
-	if w.starts[d.key.Name] > 1 {
+	m.closed[d.grant] = true
+	m.starts[d.key.Name]++
+	if m.starts[d.key.Name] > 1 {
 		t.Fatalf("key %s started twice", d.key.Name)
 	}
 	if rapid.Bool().Draw(t, "reported") {
-		w.reports = append(w.reports, Report{Key: d.key, Grant: d.grant, Outcome: api.OutcomeCompleted})
+		m.reports = append(m.reports, Report{Key: d.key, Grant: d.grant, Outcome: api.OutcomeCompleted})
 	}
 }
 
-// resolve asks the agent for proof that a claim's dispatch did not start.
-func (w *world) resolve(t *rapid.T) {
-	rec, ok := w.table.Find(Key{"c", rapid.SampledFrom([]string{"1", "2"}).Draw(t, "key")})
-	if !ok || rec.Place.Incarnation != w.inc || w.barred[rec.Grant] {
+// proveNotRun requests proof from the agent that the dispatch of a claim did not
+// start and never will.
+func (m *model) proveNotRun(t *rapid.T) {
+	rec, ok := m.table.Find(Key{"c", rapid.SampledFrom([]string{"1", "2"}).Draw(t, "key")})
+	if !ok || rec.Place.Incarnation != m.incarnation || m.closed[rec.Grant] {
 		return
 	}
-	w.barred[rec.Grant] = true
-	w.reports = append(w.reports, Report{Key: rec.Key, Grant: rec.Grant, Outcome: api.OutcomeNotRun})
+	m.closed[rec.Grant] = true
+	m.reports = append(m.reports, Report{Key: rec.Key, Grant: rec.Grant, Outcome: api.OutcomeNotRun})
 }
 
-func (w *world) deliver(t *rapid.T) {
-	if len(w.reports) == 0 {
+func (m *model) deliverReport(t *rapid.T) {
+	if len(m.reports) == 0 {
 		return
 	}
-	w.index++
-	r := w.reports[rapid.IntRange(0, len(w.reports)-1).Draw(t, "report")]
-	_, _ = w.table.Report(w.index, w.rep, r)
+	m.index++
+	r := m.reports[rapid.IntRange(0, len(m.reports)-1).Draw(t, "report")]
+	_, _ = m.table.Report(m.index, m.replicatedMillis, r)
 }
 
-func (w *world) pass(t *rapid.T) {
+func (m *model) advanceTime(t *rapid.T) {
 	d := time.Duration(rapid.SampledFrom([]int{0, 1, 20, 31, 61, 101}).Draw(t, "seconds")) * time.Second
-	w.real += d
+	m.realTime += d
 	if rapid.Bool().Draw(t, "led") {
-		w.rep += d.Milliseconds()
+		m.replicatedMillis += d.Milliseconds()
 	}
 }
 
-func (w *world) restart(*rapid.T) {
-	w.inc++
-	w.barred = make(map[uint64]bool)
+func (m *model) restart(*rapid.T) {
+	m.incarnation++
+	m.closed = make(map[uint64]bool)
 }
 
-func (w *world) snapshot(t *rapid.T) {
-	before := w.table.Snapshot()
-	w.table = Restore(w.limits, before)
-	after := w.table.Snapshot()
+func (m *model) snapshot(t *rapid.T) {
+	before := m.table.Snapshot()
+	m.table = Restore(m.limits, before)
+	after := m.table.Snapshot()
 	if len(before) != len(after) {
 		t.Fatalf("snapshot lost claims: %d became %d", len(before), len(after))
 	}
 }
 
-// A caller sends one booking over and over, from any entry. Entries crash with a
-// grant in hand, links hold dispatches back and deliver them twice, the agent
-// restarts without memory, and reports come late, twice, or never. The booking
-// starts at most once for as long as its claim is remembered.
+// Guards against a call that starts twice. Callers send the same two keys again and
+// again, through any entry. Entries crash after they received a grant, links delay
+// and duplicate dispatches, the agent loses its state when it restarts, and reports
+// arrive late, twice or never. Each call must start at most once while its claim is
+// remembered.
 func TestStartsAtMostOnce(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		l := DefaultLimits()
-		w := &world{table: NewTable(l), limits: l, inc: 1, barred: map[uint64]bool{}, starts: map[string]int{}}
+		m := &model{table: NewTable(l), limits: l, incarnation: 1, closed: map[uint64]bool{}, starts: map[string]int{}}
 		t.Repeat(map[string]func(*rapid.T){
-			"claim":    w.claim,
-			"arrive":   w.arrive,
-			"resolve":  w.resolve,
-			"deliver":  w.deliver,
-			"pass":     w.pass,
-			"restart":  w.restart,
-			"snapshot": w.snapshot,
+			"claim":    m.requestGrant,
+			"arrive":   m.deliverDispatch,
+			"resolve":  m.proveNotRun,
+			"deliver":  m.deliverReport,
+			"pass":     m.advanceTime,
+			"restart":  m.restart,
+			"snapshot": m.snapshot,
 		})
 	})
 }
 
-// With Retain shortened below the window the key is forgotten while its dispatch
-// is still in a link, and a second call runs it again. The test shows that the
-// model can see the fault that Limits.Validate refuses.
+// Shows the failure that Limits.Validate guards against. With ClaimRetention shorter
+// than the window, the table forgets a claim while its dispatch may still start, and
+// grants the key a second time.
 func TestForgettingTooEarlyRunsTwice(t *testing.T) {
 	l := DefaultLimits()
-	l.Retain = time.Second
+	l.ClaimRetention = time.Second
 	table := NewTable(l)
 	key := Key{"c", "1"}
 	first := table.Claim(1, 0, Request{Key: key, Claimant: "a"})
--- a/core/claim/table.go
+++ b/core/claim/table.go
@@ -7,246 +7,259 @@
 	"almondseam.dev/core/api"
 )
 
-// Table holds all claims. See the package comment.
+// Table holds all claims that are remembered. See the package comment.
 type Table struct {
 	limits      Limits
-	claims      map[Key]*held
+	claims      map[Key]*heapItem
 	perCustomer map[api.CustomerID]int
-	oldest      byExpiry
-	// answers holds the claims with a kept answer in the order of settlement.
-	answers     []*held
+	expiry      expiryHeap
+	// keptAnswers holds the claims with a kept answer in the order of settlement,
+	// and answerBytes is the total size of these answers.
+	keptAnswers []*heapItem
 	answerBytes int
 }
 
-// held is a record and its place in the expiry heap.
-type held struct {
+// heapItem is a claim and its index in the expiry heap.
+type heapItem struct {
 	Record
-	slot int
+	heapIndex int
 }
 
-// NewTable gives an empty table.
+// NewTable returns an empty table with the limits l.
 func NewTable(l Limits) *Table {
 	return &Table{
 		limits:      l,
-		claims:      make(map[Key]*held),
+		claims:      make(map[Key]*heapItem),
 		perCustomer: make(map[api.CustomerID]int),
 	}
 }
 
-// Len is the number of claims remembered.
+// Len returns the number of claims remembered.
 func (t *Table) Len() int { return len(t.claims) }
 
-// Claim decides a request. index is its log index and now the replicated time.
+// Claim applies a request for a grant. index is its log index and now the time of
+// the replicated clock.
 func (t *Table) Claim(index uint64, now int64, r Request) Decision {
 	t.Expire(now)
-	h := t.claims[r.Key]
-	if h == nil {
+	item := t.claims[r.Key]
+	if item == nil {
 		return t.grantNew(index, now, r)
 	}
-	if h.Digest != r.Digest {
+	if item.Digest != r.Digest {
 		return Decision{Verdict: Conflict}
 	}
-	if h.State == StateReleased && h.Claimant != r.Claimant {
-		t.grant(h, index, now, r)
-		return Decision{Verdict: Granted, Record: h.Record}
+	if item.State == StateReleased && item.Claimant != r.Claimant {
+		t.grant(item, index, now, r)
+		return Decision{Verdict: Granted, Record: item.Record}
 	}
-	return Decision{Verdict: t.verdict(h, now, r.Claimant), Record: h.Record}
+	return Decision{Verdict: t.verdict(item, now, r.Claimant), Record: item.Record}
 }
 
+// grantNew adds a claim for a new key and grants it, unless a limit is reached.
 func (t *Table) grantNew(index uint64, now int64, r Request) Decision {
 	if len(t.claims) >= t.limits.MaxClaims || t.perCustomer[r.Key.Customer] >= t.limits.MaxPerCustomer {
 		return Decision{Verdict: Full}
 	}
-	h := &held{Record: Record{Key: r.Key, Digest: r.Digest}}
-	t.claims[r.Key] = h
+	item := &heapItem{Record: Record{Key: r.Key, Digest: r.Digest}}
+	t.claims[r.Key] = item
 	t.perCustomer[r.Key.Customer]++
-	heap.Push(&t.oldest, h)
-	t.grant(h, index, now, r)
-	return Decision{Verdict: Granted, Record: h.Record}
+	heap.Push(&t.expiry, item)
+	t.grant(item, index, now, r)
+	return Decision{Verdict: Granted, Record: item.Record}
 }
 
-// grant gives h to r. The claim's age starts anew, so that a second grant is
-// remembered for as long as a first one.
-func (t *Table) grant(h *held, index uint64, now int64, r Request) {
-	h.State = StateClaimed
-	h.Grant = index
-	h.Attempt++
-	h.Place = r.Place
-	h.Claimant = r.Claimant
-	h.Request = r.Request
-	h.Claimed = now
-	heap.Fix(&t.oldest, h.slot)
+// grant grants the claim to the claimant of r. It resets the age of the claim, so
+// that a second grant is remembered for as long as a first one.
+func (t *Table) grant(item *heapItem, index uint64, now int64, r Request) {
+	item.State = StateClaimed
+	item.Grant = index
+	item.Attempt++
+	item.Place = r.Place
+	item.Claimant = r.Claimant
+	item.Request = r.Request
+	item.Claimed = now
+	heap.Fix(&t.expiry, item.heapIndex)
 }
 
-// verdict answers a request for a claim that can't be granted.
+// verdict returns the verdict on a request for a claim that gets no new grant.
 //
-// The first asker gets its own grant again only while the dispatch is not known
-// to have started: after that an answer lost between control and entry must not
-// make the entry dispatch, for it may have dispatched already. An asker that has
-// given its grant back gets no other one: what arrives then is a late duplicate
-// that nobody waits for, and its grant would block the key.
-func (t *Table) verdict(h *held, now int64, claimant string) Verdict {
+// The claimant that holds the grant gets the same grant again while no start or
+// outcome is known and Window.Dispatch has not passed. Later a response that was
+// lost between control and entry must not make the entry dispatch, since it may
+// have dispatched already. A claimant that has released its grant gets no other
+// one: its request is a late duplicate that nobody waits for, and a grant for it
+// would block the key.
+func (t *Table) verdict(item *heapItem, now int64, claimant string) Verdict {
 	switch {
-	case h.State == StateSettled && h.Outcome == api.OutcomeUnknown:
+	case item.State == StateSettled && item.Outcome == api.OutcomeUnknown:
 		return Undecided
-	case h.State == StateSettled:
+	case item.State == StateSettled:
 		return Answered
-	case h.State == StateClaimed && h.Claimant == claimant && now-h.Claimed <= millis(t.limits.Window.Dispatch):
+	case item.State == StateClaimed && item.Claimant == claimant && now-item.Claimed <= millis(t.limits.Window.Dispatch):
 		return Granted
-	case now-h.Claimed > millis(t.limits.Window.Total()) && h.State == StateClaimed:
+	case now-item.Claimed > millis(t.limits.Window.Total()) && item.State == StateClaimed:
 		return Undecided
 	}
 	return InProgress
 }
 
-// Report takes in what became of a grant. The same report again changes nothing
-// and succeeds.
+// Report applies a report and returns the claim as it is afterwards. Applying the
+// same report twice in a row succeeds and changes nothing more, except that an
+// unknown outcome reported again updates the time and index of the settlement.
 func (t *Table) Report(index uint64, now int64, r Report) (Record, error) {
 	t.Expire(now)
-	h := t.claims[r.Key]
+	item := t.claims[r.Key]
 	switch {
-	case h == nil:
+	case item == nil:
 		return Record{}, ErrNoClaim
-	case !r.about(h.Record):
-		return h.Record, ErrOldGrant
+	case !r.appliesTo(item.Record):
+		return item.Record, ErrOldGrant
 	case r.Started:
-		return t.start(h)
+		return t.markStarted(item)
 	case r.Outcome == api.OutcomeNotRun:
-		return t.release(h)
+		return t.release(item)
 	case r.Outcome == api.OutcomeCompleted, r.Outcome == api.OutcomeInterrupted, r.Outcome == api.OutcomeUnknown:
-		return t.settle(h, index, now, r)
+		return t.settle(item, index, now, r)
 	}
-	return h.Record, ErrBadOutcome
+	return item.Record, ErrBadOutcome
 }
 
-func (t *Table) start(h *held) (Record, error) {
-	if h.State == StateReleased {
-		return h.Record, ErrSettled
+// markStarted records that the dispatch started. It changes nothing if an outcome is
+// already known.
+func (t *Table) markStarted(item *heapItem) (Record, error) {
+	if item.State == StateReleased {
+		return item.Record, ErrSettled
 	}
-	if h.State == StateClaimed {
-		h.State = StateStarted
+	if item.State == StateClaimed {
+		item.State = StateStarted
 	}
-	return h.Record, nil
+	return item.Record, nil
 }
 
-// release frees the key for another grant. A claim known to have started, or to
-// have an outcome, is never released: such a proof contradicts what is known, and
-// believing it could run the call twice.
-func (t *Table) release(h *held) (Record, error) {
-	unknown := h.State == StateSettled && h.Outcome == api.OutcomeUnknown
+// release makes the key available for another grant. A claim that is known to have
+// started or that has an outcome other than unknown is never released: the proof
+// contradicts what is known, and accepting it could run the call twice.
+func (t *Table) release(item *heapItem) (Record, error) {
+	unknown := item.State == StateSettled && item.Outcome == api.OutcomeUnknown
 	switch {
-	case h.State == StateReleased:
-		return h.Record, nil
-	case h.State != StateClaimed && !unknown:
-		return h.Record, ErrSettled
-	}
-	h.State = StateReleased
-	h.Outcome = ""
-	h.Settled, h.SettledAt = 0, 0
-	return h.Record, nil
-}
-
-// settle records the outcome. Unknown may be replaced by what is learnt later;
-// nothing else may.
-func (t *Table) settle(h *held, index uint64, now int64, r Report) (Record, error) {
-	if h.State == StateReleased {
-		return h.Record, ErrSettled
-	}
-	if h.State == StateSettled && h.Outcome != api.OutcomeUnknown {
-		if h.Outcome != r.Outcome {
-			return h.Record, ErrSettled
+	case item.State == StateReleased:
+		return item.Record, nil
+	case item.State != StateClaimed && !unknown:
+		return item.Record, ErrSettled
+	}
+	item.State = StateReleased
+	item.Outcome = ""
+	item.Settled, item.SettledAt = 0, 0
+	return item.Record, nil
+}
+
+// settle records the outcome. An unknown outcome may be replaced by a later report;
+// any other outcome is final.
+func (t *Table) settle(item *heapItem, index uint64, now int64, r Report) (Record, error) {
+	if item.State == StateReleased {
+		return item.Record, ErrSettled
+	}
+	if item.State == StateSettled && item.Outcome != api.OutcomeUnknown {
+		if item.Outcome != r.Outcome {
+			return item.Record, ErrSettled
 		}
-		return h.Record, nil
+		return item.Record, nil
 	}
-	h.State = StateSettled
-	h.Outcome = r.Outcome
-	h.Status = r.Status
-	h.Settled = now
-	h.SettledAt = index
-	if r.Outcome == api.OutcomeCompleted && len(r.Answer) <= t.limits.MaxAnswer {
-		t.keep(h, r.Answer)
+	item.State = StateSettled
+	item.Outcome = r.Outcome
+	item.Status = r.Status
+	item.Settled = now
+	item.SettledAt = index
+	if r.Outcome == api.OutcomeCompleted && len(r.Answer) <= t.limits.MaxAnswerBytes {
+		t.keepAnswer(item, r.Answer)
 	}
-	return h.Record, nil
+	return item.Record, nil
 }
 
-func (t *Table) keep(h *held, answer []byte) {
-	h.Answer = answer
-	h.Kept = true
+// keepAnswer stores an answer and drops the oldest ones until all kept answers fit
+// into the limit.
+func (t *Table) keepAnswer(item *heapItem, answer []byte) {
+	item.Answer = answer
+	item.Kept = true
 	t.answerBytes += len(answer)
-	t.answers = append(t.answers, h)
-	for t.answerBytes > t.limits.MaxAnswers {
+	t.keptAnswers = append(t.keptAnswers, item)
+	for t.answerBytes > t.limits.MaxTotalAnswerBytes {
 		t.dropAnswer()
 	}
 }
 
-// dropAnswer lets go of the oldest answer. Its claim stays, so the key still
+// dropAnswer drops the oldest kept answer. Its claim stays, so that the key still
 // can't run again.
 func (t *Table) dropAnswer() {
-	h := t.answers[0]
-	t.answers[0] = nil
-	t.answers = t.answers[1:]
-	t.answerBytes -= len(h.Answer)
-	h.Answer = nil
-	h.Kept = false
+	item := t.keptAnswers[0]
+	t.keptAnswers[0] = nil
+	t.keptAnswers = t.keptAnswers[1:]
+	t.answerBytes -= len(item.Answer)
+	item.Answer = nil
+	item.Kept = false
 }
 
-// Expire lets go of old answers and forgets old claims. Every operation calls
-// it first, so that what is remembered depends on the log alone.
+// Expire drops the answers and removes the claims that are older than the limits
+// allow. Claim and Report call it first, so that the contents of the table depend
+// on the log alone.
 func (t *Table) Expire(now int64) {
-	for len(t.answers) > 0 && now-t.answers[0].Settled > millis(t.limits.KeepAnswer) {
+	for len(t.keptAnswers) > 0 && now-t.keptAnswers[0].Settled > millis(t.limits.AnswerRetention) {
 		t.dropAnswer()
 	}
-	for len(t.oldest) > 0 && now-t.oldest[0].Claimed > millis(t.limits.Retain) {
-		t.forget(t.oldest[0])
+	for len(t.expiry) > 0 && now-t.expiry[0].Claimed > millis(t.limits.ClaimRetention) {
+		t.remove(t.expiry[0])
 	}
 }
 
-func (t *Table) forget(h *held) {
-	if h.Kept {
-		t.forgetAnswer(h)
+// remove removes a claim and its answer.
+func (t *Table) remove(item *heapItem) {
+	if item.Kept {
+		t.removeAnswer(item)
 	}
-	heap.Remove(&t.oldest, h.slot)
-	delete(t.claims, h.Key)
-	t.perCustomer[h.Key.Customer]--
-	if t.perCustomer[h.Key.Customer] == 0 {
-		delete(t.perCustomer, h.Key.Customer)
+	heap.Remove(&t.expiry, item.heapIndex)
+	delete(t.claims, item.Key)
+	t.perCustomer[item.Key.Customer]--
+	if t.perCustomer[item.Key.Customer] == 0 {
+		delete(t.perCustomer, item.Key.Customer)
 	}
 }
 
-// forgetAnswer takes one answer out of the middle; that happens only to a call
-// that took nearly as long as claims are remembered.
-func (t *Table) forgetAnswer(h *held) {
-	t.answerBytes -= len(h.Answer)
-	for i, other := range t.answers {
-		if other == h {
-			t.answers = append(t.answers[:i], t.answers[i+1:]...)
+// removeAnswer removes the answer of a claim that expires before its answer does.
+// That happens only if the call took nearly as long as claims are remembered, so
+// the linear search is rare.
+func (t *Table) removeAnswer(item *heapItem) {
+	t.answerBytes -= len(item.Answer)
+	for i, other := range t.keptAnswers {
+		if other == item {
+			t.keptAnswers = append(t.keptAnswers[:i], t.keptAnswers[i+1:]...)
 			return
 		}
 	}
 }
 
-// Find gives the claim of a key.
+// Find returns the claim of a key and reports whether there is one.
 func (t *Table) Find(k Key) (Record, bool) {
-	h := t.claims[k]
-	if h == nil {
+	item := t.claims[k]
+	if item == nil {
 		return Record{}, false
 	}
-	return h.Record, true
+	return item.Record, true
 }
 
-// FindRequest gives the claim that a request was granted. It looks at every
-// claim and is meant for operators.
+// FindRequest returns the claim whose latest grant went to the request id. It scans
+// all claims and is meant for queries by operators.
 func (t *Table) FindRequest(id api.RequestID) (Record, bool) {
-	for _, h := range t.claims {
-		if h.Request == id {
-			return h.Record, true
+	for _, item := range t.claims {
+		if item.Request == id {
+			return item.Record, true
 		}
 	}
 	return Record{}, false
 }
 
-// Undecided tells whether nothing will prove any more, by itself, what became
-// of an unsettled claim.
+// Undecided reports whether r is undecided: its dispatch can no longer start, and
+// neither a start nor an outcome has been reported. A late report can still settle
+// or release the claim.
 func (t *Table) Undecided(r Record, now int64) bool {
 	return r.State == StateClaimed && now-r.Claimed > millis(t.limits.Window.Total())
 }
--- a/core/claim/table_test.go
+++ b/core/claim/table_test.go
@@ -10,59 +10,60 @@
 )
 
 var (
-	seat  = Key{Customer: "sur-sangat", Name: "seat-14"}
-	place = Place{Target: "booking-1", Incarnation: 3}
+	bookingKey   = Key{Customer: "sur-sangat", Name: "seat-14"}
+	bookingPlace = Place{Target: "booking-1", Incarnation: 3}
 )
 
-func ask(claimant string) Request {
-	return Request{Key: seat, Digest: Digest{1}, Place: place, Claimant: claimant, Request: api.RequestID("r-" + claimant)}
+func request(claimant string) Request {
+	return Request{Key: bookingKey, Digest: Digest{1}, Place: bookingPlace, Claimant: claimant, Request: api.RequestID("r-" + claimant)}
 }
 
 func testLimits() Limits {
 	l := DefaultLimits()
-	l.MaxAnswer = 8
-	l.MaxAnswers = 12
+	l.MaxAnswerBytes = 8
+	l.MaxTotalAnswerBytes = 12
 	l.MaxClaims = 4
 	l.MaxPerCustomer = 3
 	return l
 }
 
-// Each case is what a second asker is told after the first grant went some way.
+// Each case gives the verdict on a second request for a key, depending on what
+// happened after the first grant.
 func TestSecondAsker(t *testing.T) {
-	past := testLimits().Window.Total().Milliseconds() + 1
+	afterWindow := testLimits().Window.Total().Milliseconds() + 1
 	for _, tc := range []struct {
-		name   string
-		report *Report
-		ask    Request
-		at     int64
-		want   Verdict
+		name    string
+		report  *Report
+		request Request
+		at      int64
+		want    Verdict
 	}{
-		{"while claimed", nil, ask("b"), 1, InProgress},
-		{"while started", &Report{Started: true}, ask("b"), past, InProgress},
-		{"after completion", &Report{Outcome: api.OutcomeCompleted, Answer: []byte("ok")}, ask("b"), 1, Answered},
-		{"after interruption", &Report{Outcome: api.OutcomeInterrupted}, ask("b"), 1, Answered},
-		{"after unknown", &Report{Outcome: api.OutcomeUnknown}, ask("b"), 1, Undecided},
-		{"after proof of not run", &Report{Outcome: api.OutcomeNotRun}, ask("b"), 1, Granted},
-		{"once nothing can start", nil, ask("b"), past, Undecided},
-		{"other digest", nil, Request{Key: seat, Digest: Digest{2}, Place: place, Claimant: "b"}, 1, Conflict},
-		{"other digest after release", &Report{Outcome: api.OutcomeNotRun}, Request{Key: seat, Digest: Digest{2}, Claimant: "b"}, 1, Conflict},
-		{"same call resent", nil, ask("a"), 1, Granted},
-		{"same call resent after start", &Report{Started: true}, ask("a"), 1, InProgress},
-		{"same call resent too late to dispatch", nil, ask("a"), 31_000, InProgress},
-		{"late duplicate of a call given back", &Report{Outcome: api.OutcomeNotRun}, ask("a"), 1, InProgress},
+		{"while claimed", nil, request("b"), 1, InProgress},
+		{"while started", &Report{Started: true}, request("b"), afterWindow, InProgress},
+		{"after completion", &Report{Outcome: api.OutcomeCompleted, Answer: []byte("ok")}, request("b"), 1, Answered},
+		{"after interruption", &Report{Outcome: api.OutcomeInterrupted}, request("b"), 1, Answered},
+		{"after unknown", &Report{Outcome: api.OutcomeUnknown}, request("b"), 1, Undecided},
+		{"after proof of not run", &Report{Outcome: api.OutcomeNotRun}, request("b"), 1, Granted},
+		{"once nothing can start", nil, request("b"), afterWindow, Undecided},
+		{"other digest", nil, Request{Key: bookingKey, Digest: Digest{2}, Place: bookingPlace, Claimant: "b"}, 1, Conflict},
+		{"other digest after release", &Report{Outcome: api.OutcomeNotRun}, Request{Key: bookingKey, Digest: Digest{2}, Claimant: "b"}, 1, Conflict},
+		{"same call resent", nil, request("a"), 1, Granted},
+		{"same call resent after start", &Report{Started: true}, request("a"), 1, InProgress},
+		{"same call resent too late to dispatch", nil, request("a"), 31_000, InProgress},
+		{"late duplicate of a call given back", &Report{Outcome: api.OutcomeNotRun}, request("a"), 1, InProgress},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			c := qt.New(t)
 			table := NewTable(testLimits())
-			first := table.Claim(5, 0, ask("a"))
+			first := table.Claim(5, 0, request("a"))
 			c.Assert(first.Verdict, qt.Equals, Granted)
 			if tc.report != nil {
 				r := *tc.report
-				r.Key, r.Grant = seat, 5
+				r.Key, r.Grant = bookingKey, 5
 				_, err := table.Report(6, 0, r)
 				c.Assert(err, qt.IsNil)
 			}
-			got := table.Claim(7, tc.at, tc.ask)
+			got := table.Claim(7, tc.at, tc.request)
 			c.Assert(got.Verdict, qt.Equals, tc.want)
 			if tc.want == Conflict {
 				c.Assert(got.Record, qt.DeepEquals, Record{})
@@ -71,7 +72,7 @@
 	}
 }
 
-// Each case is a report that must be refused and change nothing.
+// Each case is a report that must be rejected without changing the claim.
 func TestRefusedReports(t *testing.T) {
 	for _, tc := range []struct {
 		name   string
@@ -80,28 +81,28 @@
 		want   error
 	}{
 		{"no claim", nil, Report{Key: Key{Name: "other"}, Grant: 5, Outcome: api.OutcomeCompleted}, ErrNoClaim},
-		{"earlier grant", nil, Report{Key: seat, Grant: 4, Outcome: api.OutcomeNotRun}, ErrOldGrant},
-		{"not run after a start", []Report{{Started: true}}, Report{Key: seat, Grant: 5, Outcome: api.OutcomeNotRun}, ErrSettled},
-		{"not run after completion", []Report{{Outcome: api.OutcomeCompleted}}, Report{Key: seat, Grant: 5, Outcome: api.OutcomeNotRun}, ErrSettled},
-		{"completed after interrupted", []Report{{Outcome: api.OutcomeInterrupted}}, Report{Key: seat, Grant: 5, Outcome: api.OutcomeCompleted}, ErrSettled},
-		{"started after release", []Report{{Outcome: api.OutcomeNotRun}}, Report{Key: seat, Grant: 5, Started: true}, ErrSettled},
-		{"no outcome", nil, Report{Key: seat, Grant: 5}, ErrBadOutcome},
-		{"given up by another claimant", nil, Report{Key: seat, Claimant: "b", Outcome: api.OutcomeNotRun}, ErrOldGrant},
+		{"earlier grant", nil, Report{Key: bookingKey, Grant: 4, Outcome: api.OutcomeNotRun}, ErrOldGrant},
+		{"not run after a start", []Report{{Started: true}}, Report{Key: bookingKey, Grant: 5, Outcome: api.OutcomeNotRun}, ErrSettled},
+		{"not run after completion", []Report{{Outcome: api.OutcomeCompleted}}, Report{Key: bookingKey, Grant: 5, Outcome: api.OutcomeNotRun}, ErrSettled},
+		{"completed after interrupted", []Report{{Outcome: api.OutcomeInterrupted}}, Report{Key: bookingKey, Grant: 5, Outcome: api.OutcomeCompleted}, ErrSettled},
+		{"started after release", []Report{{Outcome: api.OutcomeNotRun}}, Report{Key: bookingKey, Grant: 5, Started: true}, ErrSettled},
+		{"no outcome", nil, Report{Key: bookingKey, Grant: 5}, ErrBadOutcome},
+		{"given up by another claimant", nil, Report{Key: bookingKey, Claimant: "b", Outcome: api.OutcomeNotRun}, ErrOldGrant},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			c := qt.New(t)
 			table := NewTable(testLimits())
-			table.Claim(5, 0, ask("a"))
+			table.Claim(5, 0, request("a"))
 			for _, r := range tc.before {
-				r.Key, r.Grant = seat, 5
+				r.Key, r.Grant = bookingKey, 5
 				_, err := table.Report(6, 0, r)
 				c.Assert(err, qt.IsNil)
 			}
-			was, _ := table.Find(seat)
+			recordBefore, _ := table.Find(bookingKey)
 			_, err := table.Report(7, 0, tc.report)
 			c.Assert(err, qt.ErrorIs, tc.want)
-			is, _ := table.Find(seat)
-			c.Assert(is, qt.DeepEquals, was)
+			recordAfter, _ := table.Find(bookingKey)
+			c.Assert(recordAfter, qt.DeepEquals, recordBefore)
 		})
 	}
 }
@@ -109,28 +110,29 @@
 func TestUnknownGivesWayToWhatIsLearntLater(t *testing.T) {
 	c := qt.New(t)
 	table := NewTable(testLimits())
-	table.Claim(5, 0, ask("a"))
-	_, err := table.Report(6, 0, Report{Key: seat, Grant: 5, Outcome: api.OutcomeUnknown})
+	table.Claim(5, 0, request("a"))
+	_, err := table.Report(6, 0, Report{Key: bookingKey, Grant: 5, Outcome: api.OutcomeUnknown})
 	c.Assert(err, qt.IsNil)
-	rec, err := table.Report(7, 0, Report{Key: seat, Grant: 5, Outcome: api.OutcomeCompleted, Answer: []byte("ok")})
+	rec, err := table.Report(7, 0, Report{Key: bookingKey, Grant: 5, Outcome: api.OutcomeCompleted, Answer: []byte("ok")})
 	c.Assert(err, qt.IsNil)
 	c.Assert(string(rec.Answer), qt.Equals, "ok")
-	c.Assert(table.Claim(8, 0, ask("b")).Verdict, qt.Equals, Answered)
+	c.Assert(table.Claim(8, 0, request("b")).Verdict, qt.Equals, Answered)
 }
 
-// Answers are bounded in bytes and time, claims in number. What is dropped for
-// room is the answer, never the claim: a forgotten claim could run twice. A full
-// table refuses, and a claim is forgotten only when Retain has passed.
+// Answers are bounded in bytes and age, claims in number and age. To free space the
+// table drops answers, never claims, since a call could run twice after its claim
+// was removed. A full table rejects new claims, and a claim is removed only after
+// ClaimRetention has passed.
 func TestBounds(t *testing.T) {
 	c := qt.New(t)
 	l := testLimits()
 	table := NewTable(l)
-	key := func(customer api.CustomerID, n string) Request {
-		return Request{Key: Key{customer, n}, Claimant: "a" + n, Place: place}
+	newRequest := func(customer api.CustomerID, n string) Request {
+		return Request{Key: Key{customer, n}, Claimant: "a" + n, Place: bookingPlace}
 	}
 	for i, name := range []string{"1", "2", "3"} {
 		grant := uint64(i + 1)
-		c.Assert(table.Claim(grant, 0, key("x", name)).Verdict, qt.Equals, Granted)
+		c.Assert(table.Claim(grant, 0, newRequest("x", name)).Verdict, qt.Equals, Granted)
 		answer := []byte("12345")
 		if name == "3" {
 			answer = []byte("too long to be kept")
@@ -140,18 +142,18 @@
 	}
 	kept := func(name string) bool { r, _ := table.Find(Key{"x", name}); return r.Kept }
 	c.Assert([]bool{kept("1"), kept("2"), kept("3")}, qt.DeepEquals, []bool{true, true, false})
-	c.Assert(table.Claim(20, 0, key("x", "4")).Verdict, qt.Equals, Full)
-	c.Assert(table.Claim(21, 0, key("y", "4")).Verdict, qt.Equals, Granted)
-	c.Assert(table.Claim(22, 0, key("z", "5")).Verdict, qt.Equals, Full)
+	c.Assert(table.Claim(20, 0, newRequest("x", "4")).Verdict, qt.Equals, Full)
+	c.Assert(table.Claim(21, 0, newRequest("y", "4")).Verdict, qt.Equals, Granted)
+	c.Assert(table.Claim(22, 0, newRequest("z", "5")).Verdict, qt.Equals, Full)
 	_, err := table.Report(23, 1, Report{Key: Key{"y", "4"}, Grant: 21, Outcome: api.OutcomeCompleted, Answer: []byte("12345")})
 	c.Assert(err, qt.IsNil)
 	c.Assert([]bool{kept("1"), kept("2")}, qt.DeepEquals, []bool{false, true})
 
-	table.Expire(l.KeepAnswer.Milliseconds() + 1)
+	table.Expire(l.AnswerRetention.Milliseconds() + 1)
 	c.Assert(kept("2"), qt.IsFalse)
-	table.Expire(l.Retain.Milliseconds())
-	c.Assert(table.Claim(30, l.Retain.Milliseconds(), key("x", "1")).Verdict, qt.Equals, Answered)
-	c.Assert(table.Claim(31, l.Retain.Milliseconds()+1, key("x", "1")).Verdict, qt.Equals, Granted)
+	table.Expire(l.ClaimRetention.Milliseconds())
+	c.Assert(table.Claim(30, l.ClaimRetention.Milliseconds(), newRequest("x", "1")).Verdict, qt.Equals, Answered)
+	c.Assert(table.Claim(31, l.ClaimRetention.Milliseconds()+1, newRequest("x", "1")).Verdict, qt.Equals, Granted)
 	c.Assert(table.Len(), qt.Equals, 1)
 	c.Assert(table.answerBytes, qt.Equals, 0)
 }
@@ -160,12 +162,13 @@
 	c := qt.New(t)
 	l := DefaultLimits()
 	c.Assert(l.Validate(), qt.IsNil)
-	l.Retain = l.Window.Total()
+	l.ClaimRetention = l.Window.Total()
 	c.Assert(l.Validate(), qt.IsNotNil)
 }
 
-// An entry is stopped, or its link stalls, with a dispatch on its way. Whichever
-// of the two waits holds it up, one of the checks refuses it.
+// Guards against a late start of a dispatch that was delayed, because its entry was
+// suspended or its link stalled. The check of the entry or that of the agent must
+// reject it.
 func TestWindowRefusesWhatWasHeldUp(t *testing.T) {
 	c := qt.New(t)
 	w := DefaultWindow()
--- a/core/claim/window.go
+++ b/core/claim/window.go
@@ -3,47 +3,50 @@
 import "time"
 
 // Window bounds how long after its grant a dispatch can still start, without
-// any two clocks being compared:
+// comparing the clocks of two instances:
 //
-//   - The entry counts from before it asked for the grant, on its own monotonic
-//     clock, and doesn't dispatch after Dispatch has passed.
-//   - Every agent puts its own monotonic clock into what it sends on a link. The
-//     entry remembers the newest reading *before* it checks its own time, and
-//     the dispatch carries that reading back. The agent doesn't start what
-//     carries a reading older than Start.
+//   - The entry reads its own monotonic clock before it requests the grant, and does
+//     not dispatch once Dispatch has passed since that reading.
+//   - Every agent includes readings of its own monotonic clock in the messages that
+//     it sends on a link. The entry takes the newest reading *before* it checks its
+//     own clock, and the dispatch returns that reading to the agent. The agent does
+//     not start a dispatch whose reading is older than Start.
 //
-// A process that was stopped, or a link that stalled, with the dispatch under way must not let
-// it run an hour later: a stop before the reading is caught by the entry's own count, and one
-// after it by the agent's.
+// A dispatch must not run an hour later because a process was suspended or a link
+// stalled while the dispatch was on its way. If that happens before the entry takes
+// the reading, the check of the entry rejects the dispatch; if it happens later,
+// the check of the agent does.
 //
-// The replicated clock runs only while a leader lives and never faster than its
-// leader's monotonic clock, so Total, counted there from the grant, ends no
-// earlier than the real bound; Margin covers clocks that differ in rate.
+// The replicated clock advances only while there is a leader, and never faster than
+// the leader's monotonic clock. Total, measured from the grant on the replicated
+// clock, therefore ends no earlier than the real bound; Margin allows for clocks
+// that run at different rates.
 type Window struct {
 	Dispatch time.Duration
 	Start    time.Duration
 	Margin   time.Duration
 }
 
-// DefaultWindow suits bookings, which are short: a call that waited for over a
-// minute is better asked again.
+// DefaultWindow returns a window that suits short calls such as bookings. For a call
+// that has waited for more than a minute, it is better if the caller sends it again.
 func DefaultWindow() Window {
 	return Window{Dispatch: 30 * time.Second, Start: 60 * time.Second, Margin: 10 * time.Second}
 }
 
-// Total is the longest time after a grant in which its dispatch may start.
+// Total returns the time after a grant, on the replicated clock, after which its
+// dispatch can no longer start.
 func (w Window) Total() time.Duration { return w.Dispatch + w.Start + w.Margin }
 
-// MayDispatch is the entry's check: asked and now are readings of its own
-// monotonic clock, asked taken before the grant was asked for.
-func (w Window) MayDispatch(asked, now time.Time) bool {
-	return now.Sub(asked) <= w.Dispatch
+// MayDispatch reports whether an entry may still dispatch. requested and now are
+// readings of its own monotonic clock, the first taken before it requested the
+// grant and the second one just before the dispatch.
+func (w Window) MayDispatch(requested, now time.Time) bool {
+	return now.Sub(requested) <= w.Dispatch
 }
 
-// MayStart is the agent's check, made at the moment it hands the call to its
-// target: echo is the reading that the dispatch carried and now the present
-// one, both of the agent's own monotonic clock. A reading from the future is
-// from another incarnation, and refused.
+// MayStart reports whether an agent may still start a call. echo is the reading that
+// the dispatch carries and now the current one, both of the agent's own monotonic
+// clock. An echo later than now comes from another incarnation and is rejected.
 func (w Window) MayStart(echo, now time.Duration) bool {
 	return echo <= now && now-echo <= w.Start
 }
