--- a/core/consensus/change.go
+++ b/core/consensus/change.go
@@ -1,27 +1,29 @@
 package consensus
 
-// promoteLag is how many entries a learner may lack when it is promoted: few
-// enough to catch up within a round trip, so that the new majority doesn't wait.
-const promoteLag = 64
+// maxPromoteLag is the number of entries by which a learner may lag when it is
+// promoted. It is low enough to catch up within a round trip, so that commits
+// don't wait for the new voter.
+const maxPromoteLag = 64
 
-// noteMemberships puts the membership entries among entries into force.
-func (n *Node) noteMemberships(entries []Entry) error {
+// recordMemberships applies the membership entries among entries, whether
+// committed or not.
+func (n *Node) recordMemberships(entries []Entry) error {
 	for _, e := range entries {
 		if e.Type != EntryMembership {
 			continue
 		}
-		m, err := DecodeMembership(e.Data)
+		membership, err := DecodeMembership(e.Data)
 		if err != nil {
 			return err
 		}
-		n.mems = append(n.mems, membershipAt{index: e.Index, m: m})
+		n.membershipHistory = append(n.membershipHistory, membershipAt{index: e.Index, membership: membership})
 	}
 	return nil
 }
 
-func (n *Node) changePending() bool { return n.mems.latest().index > n.log.commit }
+func (n *Node) changePending() bool { return n.membershipHistory.latest().index > n.log.commit }
 
-// ProposeChange appends one membership change. It is refused while another one
+// ProposeChange appends one membership change. It is rejected while another change
 // is uncommitted, and until the leader has committed an entry of its own term.
 func (n *Node) ProposeChange(c Change) error {
 	if n.role != RoleLeader {
@@ -30,14 +32,15 @@
 	if n.lead.transferee != 0 {
 		return ErrTransferring
 	}
-	// Majorities of memberships one step apart overlap, those of two steps
-	// needn't: two leaders could commit different entries at one index.
+	// Majorities of memberships that differ by one change overlap. With two
+	// changes they might not, and two leaders could commit different entries at
+	// the same index.
 	if n.changePending() {
 		return ErrChangePending
 	}
-	// A leader may not know of a change that an earlier leader left on a
-	// minority. Its own committed entry rules that change out; before it, both
-	// changes could take effect side by side.
+	// An earlier leader may have left a change on a minority of members that this
+	// leader doesn't know of. Once an entry of this term is committed, that change
+	// can't be committed any more; before, both changes could take effect.
 	if n.log.commit < n.lead.termStart {
 		return ErrNotReady
 	}
@@ -48,18 +51,19 @@
 	if err := n.checkReachable(c, next); err != nil {
 		return err
 	}
-	n.appendOwn(EntryMembership, encodeMembership(next))
-	n.mems = append(n.mems, membershipAt{index: n.log.last(), m: next})
+	n.appendEntry(EntryMembership, encodeMembership(next))
+	n.membershipHistory = append(n.membershipHistory, membershipAt{index: n.log.last(), membership: next})
 	n.syncPeers()
 	return nil
 }
 
-// checkReachable refuses a change after which no majority would answer: the
-// group could then neither write nor take the change back.
+// checkReachable rejects a change after which no majority of voters is active,
+// because the group could then neither commit writes nor revert the change. It
+// also rejects the promotion of a learner that is inactive or lags too far behind.
 func (n *Node) checkReachable(c Change, next Membership) error {
 	if c.Type == ChangePromote {
 		p := n.lead.peers[c.ID]
-		if p == nil || !n.isActive(c.ID) || p.match+promoteLag < n.log.last() {
+		if p == nil || !n.isActive(c.ID) || p.match+maxPromoteLag < n.log.last() {
 			return ErrNotCaughtUp
 		}
 	}
@@ -69,28 +73,29 @@
 	return nil
 }
 
-// stepDownIfRemoved ends the office of a leader whose own removal is
-// committed, and asks the voter that is furthest along to follow at once.
+// stepDownIfRemoved makes a leader step down once its own removal is committed. It
+// tells the voter with the highest match index to start an election immediately.
 func (n *Node) stepDownIfRemoved() {
 	m := n.members()
 	if n.changePending() || m.IsVoter(n.id) {
 		return
 	}
-	var heir MemberID
-	var best uint64
+	var successor MemberID
+	var highestMatch uint64
 	n.eachPeer(func(id MemberID, p *peer) {
-		if m.IsVoter(id) && p.match > best {
-			heir, best = id, p.match
+		if m.IsVoter(id) && p.match > highestMatch {
+			successor, highestMatch = id, p.match
 		}
 	})
-	if heir != 0 {
-		n.send(Message{Type: MsgTimeoutNow, To: heir})
+	if successor != 0 {
+		n.send(Message{Type: MsgTimeoutNow, To: successor})
 	}
 	n.becomeFollower(n.term, 0)
 }
 
-// TransferLeadership hands the office to a voter that has caught up. Proposals
-// are refused until it is done or an election timeout has passed.
+// TransferLeadership starts a transfer of leadership to an active voter, which
+// completes once that voter has the whole log. Proposals and membership changes
+// are rejected until the transfer completes or ElectionTicks have passed.
 func (n *Node) TransferLeadership(to MemberID) error {
 	if n.role != RoleLeader {
 		return n.notLeader()
@@ -105,12 +110,13 @@
 		return ErrNotCaughtUp
 	}
 	n.lead.transferee, n.lead.transferElapsed = to, 0
-	n.maybeHandOver(to, n.lead.peers[to])
+	n.maybeSendTimeoutNow(to, n.lead.peers[to])
 	return nil
 }
 
-// maybeHandOver tells the transferee to stand once its log is whole.
-func (n *Node) maybeHandOver(id MemberID, p *peer) {
+// maybeSendTimeoutNow tells the transferee to start an election once it has the
+// whole log.
+func (n *Node) maybeSendTimeoutNow(id MemberID, p *peer) {
 	if n.role == RoleLeader && id == n.lead.transferee && p.match == n.log.last() {
 		n.send(Message{Type: MsgTimeoutNow, To: id})
 	}
--- a/core/consensus/codec.go
+++ b/core/consensus/codec.go
@@ -6,8 +6,8 @@
 	"almondseam.dev/core/codec"
 )
 
-// Bounds on what is decoded, so that a damaged or hostile input costs no more
-// than its own length.
+// Decoder limits. They keep the cost of decoding a damaged or hostile input in
+// proportion to its length.
 const (
 	maxDecodedArray  = 1 << 16
 	maxDecodedPairs  = 32
@@ -19,12 +19,13 @@
 	decMode = codec.Decoder(codec.Bounds{Nesting: maxDecodedNested, Items: maxDecodedArray, Pairs: maxDecodedPairs})
 )
 
-// Encode gives v (Message, Entry, HardState, Membership or Snapshot) as
-// deterministic CBOR.
+// Encode returns the deterministic CBOR encoding of v, for example a Message,
+// Entry, HardState, Membership or Snapshot.
 func Encode(v any) ([]byte, error) { return encMode.Marshal(v) }
 
-// Decode reads what Encode wrote into the pointer v, within bounds on nesting
-// and counts; bytes left over are an error. The caller bounds len(b).
+// Decode decodes the output of Encode into the value that v points to. It limits
+// nesting and element counts, and returns an error if bytes are left over. The
+// caller must limit len(b).
 func Decode(b []byte, v any) error {
 	if err := decMode.Unmarshal(b, v); err != nil {
 		return fmt.Errorf("%w: %w", ErrMalformed, err)
@@ -40,7 +41,7 @@
 	return b
 }
 
-// DecodeMembership reads the Data of an EntryMembership.
+// DecodeMembership decodes and validates the Data of an EntryMembership.
 func DecodeMembership(b []byte) (Membership, error) {
 	var m Membership
 	if err := Decode(b, &m); err != nil {
--- a/core/consensus/config.go
+++ b/core/consensus/config.go
@@ -6,47 +6,49 @@
 	"math/rand/v2"
 )
 
-// Config holds what a Node needs to know. Zero fields other than ID and Rand
-// take the defaults.
+// Config holds the settings of a Node. ID and Rand are required. The numeric
+// settings take their defaults if they are zero.
 type Config struct {
-	// ID names this member; see MemberID for why it must die with its folder.
+	// ID identifies this member. It must not be reused with another data
+	// directory; see MemberID for the reason.
 	ID MemberID
-	// ElectionTicks is the shortest silence after which a follower stands for
-	// election, and the time after which a leader without a majority steps
-	// down. The real timeout is drawn from [ElectionTicks, 2*ElectionTicks), and from
-	// half of that until a leader was known since the start.
+	// ElectionTicks is the shortest time without contact from a leader after
+	// which a follower starts an election, and the time after which a leader that
+	// hears from no majority steps down. The election timeout is drawn at random
+	// from [ElectionTicks, 2*ElectionTicks). Until the member has known a leader
+	// since its start, both bounds are halved.
 	ElectionTicks int
-	// HeartbeatTicks is the pause between heartbeats; at most a third of
-	// ElectionTicks, so that one lost heartbeat starts no election.
+	// HeartbeatTicks is the interval between heartbeats. It is at most a third of
+	// ElectionTicks, so that a single lost heartbeat starts no election.
 	HeartbeatTicks int
-	// MaxBatchBytes bounds the data of one append message, of one snapshot
-	// chunk and of one entry.
+	// MaxBatchBytes bounds the size of one append message, of one snapshot chunk
+	// and of one proposed command. Entries count with a fixed overhead each.
 	MaxBatchBytes int
 	// MaxInflight bounds the unacknowledged append messages to one peer.
 	MaxInflight int
-	// MaxUncommittedBytes bounds the data proposed and not yet committed;
-	// beyond it Propose answers ErrBusy.
+	// MaxUncommittedBytes bounds the size of the entries that are proposed but not
+	// yet committed. Propose returns ErrBusy when the bound would be exceeded.
 	MaxUncommittedBytes int
-	// MaxPendingReads bounds the reads waiting for a majority.
+	// MaxPendingReads bounds the reads that wait for confirmation by a majority.
 	MaxPendingReads int
-	// MaxSnapshotBytes bounds the snapshot that this member accepts.
+	// MaxSnapshotBytes bounds the size of a snapshot that this member accepts.
 	MaxSnapshotBytes int
-	// KeepEntries is how many entries before a snapshot stay in memory, so
-	// that a peer that lags a little needs no snapshot.
+	// KeepEntries is the maximum number of entries covered by a snapshot that stay
+	// in memory, so that a peer that lags slightly needs no snapshot.
 	KeepEntries uint64
-	// KeepBytes bounds what KeepEntries keeps. Without it, a log of large
-	// entries stays large over a compaction, and a caller that compacts by
-	// size would do so at every batch.
+	// KeepBytes bounds the size of the entries that stay because of KeepEntries.
+	// Without it, a log of large entries would stay large after compaction, and a
+	// caller that compacts by log size would do so at every batch.
 	KeepBytes int
-	// EarlySend makes Ready give a leader's appends and heartbeats as Early, so
-	// that followers save at the same time as the leader and a write takes one
+	// EarlySend makes Ready return a leader's appends and heartbeats in Early, so
+	// that followers save at the same time as the leader and a write waits for one
 	// fsync less. The caller must then send Ready.Early.
 	EarlySend bool
-	// Rand draws election timeouts.
+	// Rand is the source of randomness for election timeouts.
 	Rand *rand.Rand
 }
 
-// Defaults of Config.
+// Default values of Config fields.
 const (
 	DefaultElectionTicks       = 10
 	DefaultHeartbeatTicks      = 2
--- a/core/consensus/doc.go
+++ b/core/consensus/doc.go
@@ -1,14 +1,15 @@
-// Package consensus is the project's own Raft-shaped agreement as a pure state
-// machine: no sockets, files, clocks or goroutines. The caller feeds it ticks,
-// messages and proposals, and takes out batches of work with Ready.
+// Package consensus implements the Raft consensus algorithm as a deterministic
+// state machine that uses no sockets, files, clocks or goroutines. The caller
+// passes in ticks, messages and proposals, and retrieves batches of work with
+// Ready.
 //
-// One goroutine drives a Node, in this order:
+// A single goroutine drives a Node, in this order:
 //
 //	for {
 //		// wait for a tick, a message or a proposal; call Tick, Step, Propose …
 //		for node.HasReady() {
 //			rd := node.Ready()
-//			// 0. rd.Early (if Config.EarlySend is set): send them, or later
+//			// 0. rd.Early (only with Config.EarlySend): send them now or at any later step
 //			// 1. rd.Snapshot (if any): save it durably, then load it into the state machine
 //			// 2. rd.HardState and rd.Entries: save them durably (when rd.MustSync, fsync first)
 //			// 3. rd.Messages: send them
@@ -18,8 +19,9 @@
 //		}
 //	}
 //
-// No other message of a Ready may be sent before all of it is durable: a vote or an
-// acknowledgement that a crash can take back lets two leaders win one term, or
-// loses an entry that was counted as committed. A Node is not safe for
+// Apart from rd.Early, no message of a Ready may be sent before its Snapshot,
+// HardState and Entries are durable. If a crash could undo a vote that was sent,
+// two leaders could win the same term; if it could undo an acknowledgement, an
+// entry that was counted as committed could be lost. A Node is not safe for
 // concurrent use.
 package consensus
--- a/core/consensus/election.go
+++ b/core/consensus/election.go
@@ -1,24 +1,25 @@
 package consensus
 
-// inLease tells whether this member has heard from a live leader so recently
-// that it helps nobody to replace it. Without this guard a member that comes
-// back from a partition makes a healthy leader step down: callers see an
-// election for nothing. Leader and followers measure in their own ticks, so
-// this is for steadiness only; no read relies on it.
+// inLease reports whether this member has heard from a leader within the last
+// ElectionTicks, or leads itself. It then ignores requests for votes of a later
+// term, unless they are forced. Without this check, a member that returns from a
+// partition would make a healthy leader step down, and callers would see a
+// needless election. Leader and followers measure time in their own ticks, so the
+// lease only avoids disruption; no read relies on it.
 func (n *Node) inLease() bool {
 	return n.leader != 0 && n.electionElapsed < n.cfg.ElectionTicks
 }
 
-// mayStand tells whether this member may be a candidate. A voter whose removal
-// is in its log but not committed still stands: it may be the only one whose log
-// is long enough to win, and without it the group would elect nobody for ever.
-// Its own vote then doesn't count.
-func (n *Node) mayStand() bool {
-	return n.members().IsVoter(n.id) || n.mems.at(n.log.commit).IsVoter(n.id)
+// mayCampaign reports whether this member may be a candidate. A voter whose
+// removal is in its log but not yet committed may still campaign: it may be the
+// only member whose log is up to date enough to win, and without it the group
+// could never elect a leader. Its own vote then doesn't count.
+func (n *Node) mayCampaign() bool {
+	return n.members().IsVoter(n.id) || n.membershipHistory.at(n.log.commit).IsVoter(n.id)
 }
 
-// campaign starts a pre-vote or a real election. A pre-vote moves no term, so a
-// member that can't win doesn't drive up the terms of others with its own.
+// campaign starts a pre-vote or an election, depending on role. A pre-vote changes
+// no term, so a member that can't win doesn't raise the terms of the others.
 func (n *Node) campaign(role Role) { n.campaignWith(role, false) }
 
 func (n *Node) campaignWith(role Role, force bool) {
@@ -26,33 +27,34 @@
 	n.leader = 0
 	n.role = role
 	n.votes = map[MemberID]bool{n.id: true}
-	ask := Message{Type: MsgPreVote, Term: n.term + 1}
+	request := Message{Type: MsgPreVote, Term: n.term + 1}
 	if role == RoleCandidate {
 		n.term++
 		n.vote = n.id
-		ask = Message{Type: MsgVote, Term: n.term, Force: force}
+		request = Message{Type: MsgVote, Term: n.term, Force: force}
 	}
 	if n.countVotes() {
 		return
 	}
-	ask.Index, ask.LogTerm = n.log.last(), n.log.lastTerm()
+	request.Index, request.LogTerm = n.log.last(), n.log.lastTerm()
 	for _, v := range n.members().Voters {
 		if v.ID != n.id {
-			ask.To = v.ID
-			n.send(ask)
+			request.To = v.ID
+			n.send(request)
 		}
 	}
 }
 
-// countVotes acts on a majority for or against, and tells whether there was one.
+// countVotes changes the role once a majority has granted or rejected the vote,
+// and reports whether there was such a majority.
 func (n *Node) countVotes() bool {
-	granted, refused := 0, 0
+	granted, rejected := 0, 0
 	for _, v := range n.members().Voters {
-		switch yes, answered := n.votes[v.ID]; {
-		case answered && yes:
+		switch grant, voted := n.votes[v.ID]; {
+		case voted && grant:
 			granted++
-		case answered:
-			refused++
+		case voted:
+			rejected++
 		}
 	}
 	quorum := n.members().Quorum()
@@ -61,7 +63,7 @@
 		n.campaign(RoleCandidate)
 	case granted >= quorum:
 		n.becomeLeader()
-	case refused >= quorum:
+	case rejected >= quorum:
 		n.becomeFollower(n.term, 0)
 	default:
 		return false
@@ -71,7 +73,7 @@
 
 func (n *Node) becomeLeader() {
 	n.role, n.leader = RoleLeader, n.id
-	n.knewLeader = true
+	n.leaderSeen = true
 	n.votes = nil
 	n.electionElapsed = 0
 	n.lead = leaderState{peers: map[MemberID]*peer{}, termStart: n.log.last() + 1}
@@ -79,9 +81,9 @@
 	for _, e := range n.log.slice(n.log.commit, n.log.last(), int(^uint(0)>>1)) {
 		n.lead.uncommitted += entrySize(e)
 	}
-	// Entries of earlier terms are committed only along with one of this term
-	// (see maybeCommit); the no-op makes that happen without a proposal.
-	n.appendOwn(EntryNoop, nil)
+	// Entries of earlier terms are committed only together with an entry of this
+	// term (see maybeCommit); the no-op is such an entry even without proposals.
+	n.appendEntry(EntryNoop, nil)
 }
 
 func (n *Node) onVoteRequest(m Message) {
@@ -90,10 +92,10 @@
 	if pre {
 		ack.Type = MsgPreVoteAck
 	}
-	// The vote given stays given for the whole term; HardState carries it over
-	// a crash. A pre-vote promises nothing.
-	free := n.vote == m.From || (n.vote == 0 && n.leader == 0) || (pre && m.Term > n.term)
-	if !free || !n.log.upToDate(m.Index, m.LogTerm) {
+	// A vote is binding for the whole term and is saved in HardState to survive a
+	// crash. A granted pre-vote is not binding.
+	canVote := n.vote == m.From || (n.vote == 0 && n.leader == 0) || (pre && m.Term > n.term)
+	if !canVote || !n.log.isUpToDate(m.Index, m.LogTerm) {
 		ack.Reject = true
 		n.send(ack)
 		return
@@ -109,15 +111,15 @@
 }
 
 func (n *Node) onVoteAck(m Message) {
-	wanted := RoleCandidate
+	expectedRole := RoleCandidate
 	term := n.term
 	if m.Type == MsgPreVoteAck {
-		wanted = RolePreCandidate
+		expectedRole = RolePreCandidate
 		if !m.Reject {
 			term++
 		}
 	}
-	if n.role != wanted || m.Term != term {
+	if n.role != expectedRole || m.Term != term {
 		return
 	}
 	if _, seen := n.votes[m.From]; seen {
@@ -127,10 +129,11 @@
 	n.countVotes()
 }
 
-// onTimeoutNow starts an election at once: the leader asked for it and has made
-// sure that this log is whole. Force lets voters leave their lease.
+// onTimeoutNow starts an election immediately, without a pre-vote. It is the
+// leader's request, to transfer leadership or because the leader was removed from
+// the group. Force makes voters ignore their lease.
 func (n *Node) onTimeoutNow() {
-	if n.role != RoleLeader && n.mayStand() {
+	if n.role != RoleLeader && n.mayCampaign() {
 		n.campaignWith(RoleCandidate, true)
 	}
 }
--- a/core/consensus/errors.go
+++ b/core/consensus/errors.go
@@ -5,7 +5,8 @@
 	"strconv"
 )
 
-// Refusals. None of them changes any state; a refused proposal is not in the log.
+// Errors of this package. A call that returns one has changed no state; in
+// particular, a rejected proposal is not in the log.
 var (
 	ErrBusy             = errors.New("too much is waiting to be committed")
 	ErrTooLarge         = errors.New("entry is larger than a batch may be")
@@ -26,14 +27,14 @@
 	ErrInvalidBootstrap = errors.New("bootstrap needs at least one voter and no member twice")
 )
 
-// NotLeaderError refuses what only the leader can do. Leader is where to ask
-// instead, zero if unknown.
+// NotLeaderError rejects an operation that only the leader can perform. Leader
+// is the member to ask instead, zero if unknown.
 type NotLeaderError struct {
 	Leader MemberID
 	Addr   string
 }
 
-// Error names the leader if it is known.
+// Error returns a message that names the leader if it is known.
 func (e *NotLeaderError) Error() string {
 	if e.Leader == 0 {
 		return "not the leader; leader unknown"
--- a/core/consensus/log.go
+++ b/core/consensus/log.go
@@ -5,23 +5,23 @@
 	"slices"
 )
 
-// entryOverhead is what one entry counts besides its data, so that empty
-// entries are bounded too.
+// entryOverhead is added to the data of each entry when its size is counted, so
+// that size limits also bound the number of empty entries.
 const entryOverhead = 32
 
 func entrySize(e Entry) int { return len(e.Data) + entryOverhead }
 
-// entryLog is the log in memory: the entries after base. Entries handed out are
-// never overwritten in place.
+// entryLog is the in-memory part of the log: the entries after base. Slices of
+// entries that have been returned are never overwritten in place.
 type entryLog struct {
-	base     uint64 // index of the last entry no longer held
+	base     uint64 // index of the last entry that was compacted
 	baseTerm uint64
 	entries  []Entry // entries[0].Index is base+1
 	stable   uint64  // last index known to be durable
 	commit   uint64
 	applied  uint64
-	bytes    uint64
-	snap     Snapshot // newest; base <= snap.Index <= commit
+	bytes    uint64   // sum of entrySize over entries
+	snap     Snapshot // the latest one; base <= snap.Index <= commit
 }
 
 func newEntryLog(r Restored) (*entryLog, error) {
@@ -39,8 +39,8 @@
 	return l, nil
 }
 
-// checkContiguous proves that entries follow (index, term) without a gap and
-// with terms that never fall.
+// checkContiguous checks that entries follow (index, term) without a gap and that
+// their terms never decrease.
 func checkContiguous(index, term uint64, entries []Entry) error {
 	for _, e := range entries {
 		if e.Index != index+1 || e.Term < term || e.Term == 0 {
@@ -58,7 +58,8 @@
 	return t
 }
 
-// term gives the term of the entry at index, false if the log doesn't hold it.
+// term returns the term of the entry at index, or false if it is unknown. The term
+// at base is known although the entry is gone.
 func (l *entryLog) term(index uint64) (uint64, bool) {
 	switch {
 	case index == l.base:
@@ -74,9 +75,9 @@
 	return ok && t == term
 }
 
-// upToDate tells whether a log that ends at (index, term) holds everything that
-// a majority with this log may have committed.
-func (l *entryLog) upToDate(index, term uint64) bool {
+// isUpToDate reports whether a log that ends at (index, term) is at least as up to
+// date as this one, by Raft's rule for granting votes.
+func (l *entryLog) isUpToDate(index, term uint64) bool {
 	if term != l.lastTerm() {
 		return term > l.lastTerm()
 	}
@@ -90,8 +91,8 @@
 	}
 }
 
-// truncate drops the entries from index on. The capacity is cut as well, so
-// that slices already handed out keep what they show.
+// truncate drops the entries from index on. It also limits the capacity, so that
+// later appends don't overwrite slices that have been returned.
 func (l *entryLog) truncate(index uint64) {
 	keep := index - l.base - 1
 	for _, e := range l.entries[keep:] {
@@ -101,8 +102,8 @@
 	l.stable = min(l.stable, index-1)
 }
 
-// slice gives the entries in (after, to], cut after maxBytes but with one entry
-// at least.
+// slice returns the entries in (after, to], limited to maxBytes but always at
+// least one entry if the range is not empty.
 func (l *entryLog) slice(after, to uint64, maxBytes int) []Entry {
 	if after >= to {
 		return nil
@@ -118,8 +119,8 @@
 	return part[:len(part):len(part)]
 }
 
-// conflictHint gives the highest index at or below index whose term is at most
-// term, so that a whole term is skipped per round trip.
+// conflictHint returns the highest index at or below index whose term is at most
+// term, and that entry's term. It lets probing skip a whole term per round trip.
 func (l *entryLog) conflictHint(index, term uint64) (uint64, uint64) {
 	for index = min(index, l.last()); index > l.base; index-- {
 		if t, _ := l.term(index); t <= term {
@@ -129,9 +130,9 @@
 	return l.base, l.baseTerm
 }
 
-// keepFrom gives the index up to which entries can go so that at most count
-// entries and maxBytes of those up to index stay.
-func (l *entryLog) keepFrom(index, count uint64, maxBytes int) uint64 {
+// compactionIndex returns the index up to which entries can be dropped. Of the
+// entries up to index, at most count entries and maxBytes are kept.
+func (l *entryLog) compactionIndex(index, count uint64, maxBytes int) uint64 {
 	size := 0
 	for index > l.base && count > 0 {
 		size += entrySize(l.entries[index-l.base-1])
@@ -144,7 +145,7 @@
 	return index
 }
 
-// compact lets go of entries up to index.
+// compact drops the entries up to index.
 func (l *entryLog) compact(index uint64) {
 	if index <= l.base {
 		return
@@ -157,7 +158,7 @@
 	l.base, l.baseTerm = index, t
 }
 
-// reset replaces the whole log by a snapshot.
+// reset replaces the whole log with a snapshot.
 func (l *entryLog) reset(s Snapshot) {
 	l.base, l.baseTerm, l.snap = s.Index, s.Term, s
 	l.entries, l.bytes = nil, 0
--- a/core/consensus/membership.go
+++ b/core/consensus/membership.go
@@ -6,24 +6,25 @@
 	"slices"
 )
 
-// maxMembers bounds a membership read from a peer or a file. Nine instances at
-// most are set aside for control; the rest is room for learners.
+// maxMembers bounds the size of a membership read from a peer or a file. At most
+// nine instances are reserved for the control group; the rest is headroom for
+// learners.
 const maxMembers = 64
 
-// maxAddrBytes bounds one address read from a peer or a file.
+// maxAddrBytes bounds the length of an address read from a peer or a file.
 const maxAddrBytes = 256
 
 func findMember(list []Member, id MemberID) int {
 	return slices.IndexFunc(list, func(m Member) bool { return m.ID == id })
 }
 
-// IsVoter tells whether id votes.
+// IsVoter reports whether id is a voter.
 func (m Membership) IsVoter(id MemberID) bool { return findMember(m.Voters, id) >= 0 }
 
-// IsLearner tells whether id only receives the log.
+// IsLearner reports whether id is a learner.
 func (m Membership) IsLearner(id MemberID) bool { return findMember(m.Learners, id) >= 0 }
 
-// Addr gives the address of id, empty if it is not a member.
+// Addr returns the address of id, or an empty string if id is not a member.
 func (m Membership) Addr(id MemberID) string {
 	if i := findMember(m.Voters, id); i >= 0 {
 		return m.Voters[i].Addr
@@ -34,7 +35,7 @@
 	return ""
 }
 
-// Quorum is the number of voters that make a majority.
+// Quorum returns the number of voters that form a majority.
 func (m Membership) Quorum() int { return len(m.Voters)/2 + 1 }
 
 func (m Membership) clone() Membership {
@@ -59,8 +60,8 @@
 	return nil
 }
 
-// apply gives the membership after one change. Old and new majorities always
-// share a voter because one voter at most comes or goes.
+// apply returns the membership after one change. It adds or removes at most one
+// voter, so every majority of the old voters overlaps every majority of the new.
 func (m Membership) apply(c Change) (Membership, error) {
 	next := m.clone()
 	switch c.Type {
@@ -83,9 +84,9 @@
 		if !m.IsVoter(c.ID) && !m.IsLearner(c.ID) {
 			return m, ErrUnknownMember
 		}
-		gone := func(x Member) bool { return x.ID == c.ID }
-		next.Voters = slices.DeleteFunc(next.Voters, gone)
-		next.Learners = slices.DeleteFunc(next.Learners, gone)
+		removed := func(x Member) bool { return x.ID == c.ID }
+		next.Voters = slices.DeleteFunc(next.Voters, removed)
+		next.Learners = slices.DeleteFunc(next.Learners, removed)
 	default:
 		return m, fmt.Errorf("%w: change type %d", ErrMalformed, c.Type)
 	}
@@ -96,29 +97,30 @@
 
 // membershipAt is a membership and the index of the entry that set it.
 type membershipAt struct {
-	index uint64
-	m     Membership
+	index      uint64
+	membership Membership
 }
 
-// memberships are those in the log, oldest first. A membership holds from the
-// moment its entry is appended, not only once committed: a leader then can't
-// commit an entry by the majority of a group that the log has already left.
-// So the older ones are kept, for when the entry is overwritten.
+// memberships holds the memberships set by the snapshot and the log, oldest first.
+// A membership takes effect when its entry is appended, not when it is committed,
+// so that a leader can't commit an entry with a majority of voters that its log has
+// already replaced. Older memberships are kept in case the entry is overwritten.
 type memberships []membershipAt
 
 func (s memberships) latest() membershipAt { return s[len(s)-1] }
 
-// at gives the membership that held at index.
+// at returns the membership in effect at index.
 func (s memberships) at(index uint64) Membership {
 	for i := len(s) - 1; i > 0; i-- {
 		if s[i].index <= index {
-			return s[i].m
+			return s[i].membership
 		}
 	}
-	return s[0].m
+	return s[0].membership
 }
 
-// truncate forgets those at or after index.
+// truncate drops the memberships that were set at or after index, but never the
+// oldest one.
 func (s memberships) truncate(index uint64) memberships {
 	for len(s) > 1 && s[len(s)-1].index >= index {
 		s = s[:len(s)-1]
@@ -126,7 +128,7 @@
 	return s
 }
 
-// compact forgets those that were replaced at or before index.
+// compact drops the memberships that were replaced at or before index.
 func (s memberships) compact(index uint64) memberships {
 	for len(s) > 1 && s[1].index <= index {
 		s = s[1:]
--- a/core/consensus/message.go
+++ b/core/consensus/message.go
@@ -1,37 +1,42 @@
 package consensus
 
-// MessageType says what a Message asks or answers.
+// MessageType is the type of a Message.
 type MessageType uint8
 
 // The messages between members.
 const (
-	// MsgAppend carries entries, or none as a probe, after the entry (Index, LogTerm).
+	// MsgAppend carries the entries that follow the entry at (Index, LogTerm). As
+	// a probe it carries none.
 	MsgAppend MessageType = iota + 1
-	// MsgAppendAck answers MsgAppend: Index is the highest index that agrees;
-	// on Reject, Index is the one refused and Hint where to look next.
+	// MsgAppendAck answers MsgAppend. Index is the highest index up to which the
+	// logs match. If Reject is set, Index is the preceding index that did not
+	// match, and (Hint, LogTerm) is the entry at which to probe next. It also
+	// acknowledges a complete snapshot, and with Reject set it tells a leader of
+	// an earlier term about the receiver's term.
 	MsgAppendAck
-	// MsgHeartbeat tells the commit index and asks for a sign of life.
+	// MsgHeartbeat carries the commit index and requests a MsgHeartbeatAck.
 	MsgHeartbeat
 	// MsgHeartbeatAck answers MsgHeartbeat and echoes its Round.
 	MsgHeartbeatAck
-	// MsgPreVote asks whether an election at Term could be won, without moving any term.
+	// MsgPreVote asks whether the sender could win an election in Term. It changes
+	// no member's term.
 	MsgPreVote
 	// MsgPreVoteAck answers MsgPreVote.
 	MsgPreVoteAck
-	// MsgVote asks for a vote in Term.
+	// MsgVote requests a vote in Term.
 	MsgVote
 	// MsgVoteAck answers MsgVote.
 	MsgVoteAck
 	// MsgSnapshot carries one chunk of a snapshot.
 	MsgSnapshot
-	// MsgSnapshotAck tells the offset that the receiver expects next.
+	// MsgSnapshotAck carries in Hint the offset that the receiver expects next.
 	MsgSnapshotAck
-	// MsgTimeoutNow tells the receiver to start an election at once.
+	// MsgTimeoutNow tells the receiver to start an election immediately.
 	MsgTimeoutNow
 )
 
-// Message is one datagram between two members. Order, duplicates and loss in
-// transit are all tolerated.
+// Message is a message from one member to another. Messages may be lost,
+// duplicated or reordered in transit.
 type Message struct {
 	Type    MessageType    `cbor:"1,keyasint"`
 	From    MemberID       `cbor:"2,keyasint"`
@@ -48,9 +53,9 @@
 	Chunk   *SnapshotChunk `cbor:"13,keyasint,omitempty"`
 }
 
-// SnapshotChunk is a piece of the snapshot at (Message.Index, Message.LogTerm).
-// Pieces keep one message small, so that heartbeats on the same link aren't
-// held up behind megabytes.
+// SnapshotChunk is one part of the snapshot at (Message.Index, Message.LogTerm).
+// Snapshots are split so that heartbeats on the same connection aren't delayed
+// behind megabytes of snapshot data.
 type SnapshotChunk struct {
 	Membership Membership `cbor:"1,keyasint"`
 	Offset     uint64     `cbor:"2,keyasint"`
--- a/core/consensus/node.go
+++ b/core/consensus/node.go
@@ -6,12 +6,12 @@
 	"slices"
 )
 
-// Node is one member's agreement state. Not safe for concurrent use.
+// Node is the consensus state of one member. It is not safe for concurrent use.
 type Node struct {
-	cfg  Config
-	id   MemberID
-	log  *entryLog
-	mems memberships
+	cfg               Config
+	id                MemberID
+	log               *entryLog
+	membershipHistory memberships
 
 	term   uint64
 	vote   MemberID
@@ -20,36 +20,38 @@
 
 	now             uint64 // ticks since New
 	electionElapsed int
-	electionTimeout int // drawn anew at each reset
-	// knewLeader tells that a leader was known since the start.
-	knewLeader bool
+	electionTimeout int // drawn at random by each resetElection
+	// leaderSeen is set once a leader has been known since the start.
+	leaderSeen bool
 	votes      map[MemberID]bool
 
-	lead leaderState // meaningful on the leader only
+	lead leaderState // used on the leader only
 
-	incoming *incomingSnapshot // being received from the leader
-	install  *Snapshot         // received whole, not yet handed out
+	incoming         *incomingSnapshot // being received from the leader
+	receivedSnapshot *Snapshot         // received completely, not yet returned by Ready
 
 	msgs  []Message
 	reads []ReadState
 
-	pending  *Ready // handed out, not yet advanced
-	sentHard HardState
-	sentSoft softState
-	scratch  []uint64
+	pendingReady  *Ready    // returned by Ready, waiting for Advance
+	prevHardState HardState // as of the previous Ready
+	prevSoftState softState // as of the previous Ready
+	matchScratch  []uint64  // buffer reused by maybeCommit
 }
 
-// softState is what a Ready tells of leadership.
+// softState is the volatile leadership state. A Ready reports that it has changed,
+// but it is not saved.
 type softState struct {
 	role   Role
 	leader MemberID
 	term   uint64
 }
 
-// Bootstrap gives the state with which the first voters of a new group start.
-// All of them must be given the same membership; save it durably before New.
-// The customary way is a group of one, which adds the others as learners and
-// promotes them. Data is the state machine's first snapshot.
+// Bootstrap returns the initial state for the first voters of a new group. All of
+// them must be given the same membership, and the caller must save the state
+// durably before New. Usually the group starts with one voter, and the other
+// members are added as learners and then promoted. Data is the initial snapshot
+// of the state machine.
 func Bootstrap(m Membership, data []byte) (Restored, error) {
 	m = m.clone()
 	sortMembers(m.Voters)
@@ -64,7 +66,7 @@
 	}, nil
 }
 
-// New starts a member from what its folder held.
+// New returns a Node that starts from the state restored from its data directory.
 func New(cfg Config, r Restored) (*Node, error) {
 	if err := cfg.normalize(); err != nil {
 		return nil, err
@@ -74,19 +76,19 @@
 		return nil, err
 	}
 	n := &Node{cfg: cfg, id: cfg.ID, log: l, term: r.HardState.Term, vote: r.HardState.Vote}
-	n.mems = memberships{{index: r.Snapshot.Index, m: r.Snapshot.Membership.clone()}}
-	if err := n.noteMemberships(r.Entries); err != nil {
+	n.membershipHistory = memberships{{index: r.Snapshot.Index, membership: r.Snapshot.Membership.clone()}}
+	if err := n.recordMemberships(r.Entries); err != nil {
 		return nil, fmt.Errorf("%w: %w", ErrInvalidRestored, err)
 	}
-	// A crash between the save of entries and that of the hard state leaves
-	// entries of a later term. Nothing was sent in that term, since messages
-	// wait for the whole save, so no vote of it can have been given.
+	// A crash after entries were saved but before the hard state was saved leaves
+	// entries of a later term. Messages wait until both are saved, so this member
+	// cannot have sent a vote in that term.
 	if t := l.lastTerm(); t > n.term {
 		n.term, n.vote = t, 0
 	}
 	n.resetElection()
-	n.sentHard = r.HardState
-	n.sentSoft = n.soft()
+	n.prevHardState = r.HardState
+	n.prevSoftState = n.soft()
 	return n, nil
 }
 
@@ -96,13 +98,14 @@
 
 func (n *Node) soft() softState { return softState{role: n.role, leader: n.leader, term: n.term} }
 
-func (n *Node) members() Membership { return n.mems.latest().m }
+func (n *Node) members() Membership { return n.membershipHistory.latest().membership }
 
 func (n *Node) notLeader() error {
 	return &NotLeaderError{Leader: n.leader, Addr: n.members().Addr(n.leader)}
 }
 
-// send queues m for the next Ready. A term already set (pre-vote) is kept.
+// send queues m for the next Ready. It fills in the current term unless m has a
+// term already, as pre-vote messages do.
 func (n *Node) send(m Message) {
 	m.From = n.id
 	if m.Term == 0 {
@@ -111,7 +114,7 @@
 	n.msgs = append(n.msgs, m)
 }
 
-// Tick moves the member's clock by one tick.
+// Tick advances the member's logical clock by one tick.
 func (n *Node) Tick() {
 	n.now++
 	if n.role == RoleLeader {
@@ -122,7 +125,7 @@
 	if n.electionElapsed < n.electionTimeout {
 		return
 	}
-	if n.mayStand() {
+	if n.mayCampaign() {
 		n.campaign(RolePreCandidate)
 		return
 	}
@@ -132,56 +135,58 @@
 
 func (n *Node) tickLeader() {
 	if !n.activeQuorum(n.members()) {
-		// A leader cut off from the majority can commit nothing and must not
-		// answer as if it led; callers would wait on it for as long as the
-		// partition lasts. It steps down after one silent election timeout.
+		// A leader that is cut off from the majority can't commit anything. If it
+		// kept the role, callers would wait on it for as long as the partition
+		// lasts, so it steps down after ElectionTicks without hearing from a majority.
 		n.becomeFollower(n.term, 0)
 		return
 	}
 	n.tickTransfer()
-	n.dropDeparted()
+	n.dropRemovedPeers()
 	n.lead.heartbeatElapsed++
 	if n.lead.heartbeatElapsed >= n.cfg.HeartbeatTicks {
 		n.broadcastHeartbeat()
 	}
 }
 
-// resetElection draws the silence after which this member stands.
+// resetElection restarts the election timer with a new random timeout.
 //
-// A member that has known no leader since its start has none to take for silent, so that it
-// stands sooner and a group that was stopped whole has a leader sooner; if there is one all the
-// same, the others refuse it their pre-votes and nothing is disturbed.
+// A member that has known no leader since its start uses a shorter timeout, so that a group
+// whose members were all stopped elects a leader sooner. If the group does have a leader, the
+// other members ignore or reject the pre-votes and the leader is not disturbed.
 func (n *Node) resetElection() {
 	n.electionElapsed = 0
-	least := n.cfg.ElectionTicks
-	if !n.knewLeader {
-		least = max(least/firstElectionShare, 1)
+	minTicks := n.cfg.ElectionTicks
+	if !n.leaderSeen {
+		minTicks = max(minTicks/initialElectionDivisor, 1)
 	}
-	n.electionTimeout = least + n.cfg.Rand.IntN(least)
+	n.electionTimeout = minTicks + n.cfg.Rand.IntN(minTicks)
 }
 
-// firstElectionShare makes the first election timeouts after a start shorter, one part
-// in so many.
-const firstElectionShare = 2
+// initialElectionDivisor divides the election timeout of a member that has known no leader
+// since its start.
+const initialElectionDivisor = 2
 
-// becomeFollower ends any other role. Leader is zero when it isn't known.
+// becomeFollower switches to the follower role, adopts a later term and marks
+// pending reads as lost. The leader is zero if unknown.
 func (n *Node) becomeFollower(term uint64, leader MemberID) {
 	if term > n.term {
 		n.term, n.vote = term, 0
 	}
-	n.dropReads()
+	n.failPendingReads()
 	n.lead = leaderState{}
 	n.votes = nil
 	n.role, n.leader = RoleFollower, leader
-	n.knewLeader = n.knewLeader || leader != 0
+	n.leaderSeen = n.leaderSeen || leader != 0
 	n.resetElection()
 }
 
-// Propose appends commands to the log as one batch, in order; it keeps the
-// slices, which must not change afterwards. Success means only that they will
-// be sent; they count once they come back in Committed. A leader that loses its
-// office may drop them without a word, so a caller that waits must end with an
-// unknown outcome when LeaderChanged says so.
+// Propose appends commands to the log in order; either all of them are appended
+// or none. It keeps the slices, so the caller must not modify them afterwards. A
+// nil error means only that the commands were appended to the leader's log; they
+// are committed once they are returned in Ready.Committed. If the leader loses
+// leadership, they may be dropped without notice, so after Ready.LeaderChanged a
+// caller that still waits must treat the outcome as unknown.
 func (n *Node) Propose(data ...[]byte) error {
 	if n.role != RoleLeader {
 		return n.notLeader()
@@ -204,14 +209,14 @@
 		return ErrBusy
 	}
 	for _, d := range data {
-		n.appendOwn(EntryCommand, d)
+		n.appendEntry(EntryCommand, d)
 	}
 	return nil
 }
 
-// Compact makes a snapshot of the applied state at index, whose state machine
-// bytes are data, and lets go of the entries that it stands for. The caller
-// saves the answer durably.
+// Compact returns a snapshot of the applied state at index, with data as the
+// encoded state machine, and drops the entries that it covers, except those that
+// KeepEntries and KeepBytes retain. The caller must save the snapshot durably.
 func (n *Node) Compact(index uint64, data []byte) (Snapshot, error) {
 	if index <= n.log.snap.Index {
 		return Snapshot{}, ErrCompacted
@@ -220,20 +225,20 @@
 		return Snapshot{}, ErrNotApplied
 	}
 	t, _ := n.log.term(index)
-	s := Snapshot{Index: index, Term: t, Membership: n.mems.at(index).clone(), Data: data}
+	s := Snapshot{Index: index, Term: t, Membership: n.membershipHistory.at(index).clone(), Data: data}
 	n.log.snap = s
-	n.mems = n.mems.compact(index)
-	n.log.compact(n.log.keepFrom(index, n.cfg.KeepEntries, n.cfg.KeepBytes))
+	n.membershipHistory = n.membershipHistory.compact(index)
+	n.log.compact(n.log.compactionIndex(index, n.cfg.KeepEntries, n.cfg.KeepBytes))
 	return s, nil
 }
 
-// Status gives a picture for operators.
+// Status returns the member's current state for operators and metrics.
 func (n *Node) Status() Status {
 	s := Status{
 		ID: n.id, Role: n.role, Leader: n.leader, Term: n.term, Vote: n.vote,
 		Commit: n.log.commit, Applied: n.log.applied, First: n.log.base + 1, Last: n.log.last(),
 		SnapshotIndex: n.log.snap.Index, LogBytes: n.log.bytes,
-		PendingReads: len(n.lead.waiting) + len(n.lead.confirming),
+		PendingReads: len(n.lead.queuedReads) + len(n.lead.roundReads),
 		Transferee:   n.lead.transferee,
 		Membership:   n.members().clone(), ChangePending: n.changePending(),
 	}
--- a/core/consensus/node_test.go
+++ b/core/consensus/node_test.go
@@ -177,7 +177,7 @@
 			ackLast(t, n, 2)
 			add(t, n)
 			ackLast(t, n, 2)
-			for range promoteLag {
+			for range maxPromoteLag {
 				_ = n.Propose(nil)
 				ackLast(t, n, 2)
 			}
--- a/core/consensus/peer.go
+++ b/core/consensus/peer.go
@@ -1,34 +1,37 @@
 package consensus
 
-// peerState says how the leader sends to a peer.
+// peerState is the mode in which the leader replicates to a peer.
 type peerState uint8
 
 const (
-	// peerProbe: where the logs agree isn't known; one append at a time.
+	// peerProbe: the last matching index is unknown; one append is sent at a time.
 	peerProbe peerState = iota
-	// peerReplicate: appends are sent ahead of their acknowledgements.
+	// peerReplicate: appends are pipelined, without waiting for acknowledgements.
 	peerReplicate
-	// peerSnapshot: the log no longer reaches back; a snapshot is being sent.
+	// peerSnapshot: the entries that the peer needs have been compacted; a
+	// snapshot is being sent.
 	peerSnapshot
 )
 
-// peer is what the leader knows of one other member.
+// peer is the leader's replication state for one other member.
 type peer struct {
-	state    peerState
-	match    uint64 // highest index known to be durable there
-	next     uint64 // next index to send; above match
-	heard    uint64 // tick of the last answer
-	paused   bool   // probing, and the probe isn't answered yet
-	nudge    bool   // entries may be lost in transit: send an empty append
-	told     uint64 // commit index last sent
-	inflight []uint64
-	snap     *outgoingSnapshot
-	round    uint64 // newest read round that it confirmed
-	departs  uint64 // index of its removal, zero for a member
-	grace    int    // ticks since the removal was committed
+	state          peerState
+	match          uint64   // highest index known to be durable on the peer
+	next           uint64   // next index to send, always above match
+	lastAckTick    uint64   // tick of the last response, at first the tick of creation
+	paused         bool     // a probe was sent and no response has resumed sending yet
+	emptyAppendDue bool     // send an empty append, as entries may have been lost in transit
+	sentCommit     uint64   // commit index in the last append sent
+	inflight       []uint64 // last entry index of each pipelined, unacknowledged append
+	snap           *outgoingSnapshot
+	readRound      uint64 // latest read round that the peer has confirmed
+	removalIndex   uint64 // index of the entry that removes the peer, zero if there is none
+	removedTicks   int    // ticks since that entry was committed
 }
 
-func (p *peer) probe(next uint64) {
+// startProbe switches to probing from next, or from the index after match if
+// that is higher.
+func (p *peer) startProbe(next uint64) {
 	p.state = peerProbe
 	p.next = max(next, p.match+1)
 	p.paused = false
@@ -36,12 +39,12 @@
 	p.snap = nil
 }
 
-// ack notes that entries up to index are durable at the peer.
-func (p *peer) ack(index uint64) {
+// handleAck records that entries up to index are durable on the peer.
+func (p *peer) handleAck(index uint64) {
 	p.match = max(p.match, index)
 	p.next = max(p.next, p.match+1)
 	if p.state != peerReplicate {
-		p.probe(p.match + 1)
+		p.startProbe(p.match + 1)
 		p.state = peerReplicate
 		return
 	}
@@ -52,20 +55,20 @@
 	p.inflight = p.inflight[freed:]
 }
 
-// rejected goes back to where the logs may agree. A refusal that is older than
-// what is known by now is ignored.
-func (p *peer) rejected(refused, next uint64) {
+// handleReject restarts probing at next, or at rejected if that is lower. It
+// ignores a stale rejection and any rejection while a snapshot is being sent.
+func (p *peer) handleReject(rejected, next uint64) {
 	switch p.state {
 	case peerSnapshot:
 		return
 	case peerReplicate:
-		if refused <= p.match {
+		if rejected <= p.match {
 			return
 		}
 	case peerProbe:
-		if refused != p.next-1 {
+		if rejected != p.next-1 {
 			return
 		}
 	}
-	p.probe(min(next, refused))
+	p.startProbe(min(next, rejected))
 }
--- a/core/consensus/proof_test.go
+++ b/core/consensus/proof_test.go
@@ -11,24 +11,24 @@
 	qt "github.com/frankban/quicktest"
 )
 
-func calm(voters int) simOptions {
+func faultFreeOptions(voters int) simOptions {
 	return simOptions{voters: voters, delay: 2, electionTicks: 10, batch: 400, window: 4}
 }
 
-func drawOptions(seed uint64) simOptions {
+func randomOptions(seed uint64) simOptions {
 	r := rand.New(rand.NewPCG(seed, 7))
 	return simOptions{
 		voters: []int{1, 3, 3, 3, 5}[r.IntN(5)], loss: 0.25 * r.Float64(), duplicate: 0.2 * r.Float64(),
-		crash: 0.02 * r.Float64() * r.Float64(), cut: 0.05 * r.Float64(), delay: 1 + r.IntN(8), saveDelay: r.IntN(4),
-		changes: 0.1 * r.Float64(), compact: 0.1 * r.Float64(), transfers: 0.02 * r.Float64(), ops: 120,
+		crash: 0.02 * r.Float64() * r.Float64(), partition: 0.05 * r.Float64(), delay: 1 + r.IntN(8), saveDelay: r.IntN(4),
+		changes: 0.1 * r.Float64(), compact: 0.1 * r.Float64(), transfers: 0.02 * r.Float64(), maxCalls: 120,
 		electionTicks: 10 + r.IntN(20), batch: 100 + r.IntN(400), window: 1 + r.IntN(4), early: r.IntN(2) == 0,
 	}
 }
 
 const (
-	proofSeeds = 400
-	proofTicks = 2000
-	proofParts = 4 // run at the same time
+	faultSeeds  = 400
+	faultTicks  = 2000
+	faultShards = 4 // run at the same time
 )
 
 // What callers see: writes and reads that a member answered are linearizable,
@@ -37,28 +37,28 @@
 // crash with saves half done and restart, and an operator changes membership.
 // The invariants are checked at each batch that any member hands out.
 func TestGroupUnderFaults(t *testing.T) {
-	for part := range uint64(proofParts) {
+	for part := range uint64(faultShards) {
 		t.Run(fmt.Sprint("part", part), func(t *testing.T) {
 			t.Parallel()
-			for seed := part + 1; seed <= proofSeeds; seed += proofParts {
-				runFaults(t, seed)
+			for seed := part + 1; seed <= faultSeeds; seed += faultShards {
+				runWithFaults(t, seed)
 			}
 		})
 	}
 }
 
-func runFaults(t testing.TB, seed uint64) *sim {
-	s := newSim(t, seed, drawOptions(seed))
-	for range proofTicks {
-		s.faults()
-		if len(s.calls.history) < s.opt.ops && s.rng.IntN(4) == 0 {
+func runWithFaults(t testing.TB, seed uint64) *sim {
+	s := newSim(t, seed, randomOptions(seed))
+	for range faultTicks {
+		s.injectFaults()
+		if len(s.calls.history) < s.opt.maxCalls && s.rng.IntN(4) == 0 {
 			s.calls.start(s)
 		}
 		s.calls.expire(s)
 		s.tick()
 	}
-	s.settle()
-	s.calls.each(func(id uint64, _ *call) { s.calls.giveUp(id) })
+	s.healAndConverge()
+	s.calls.each(func(id uint64, _ *call) { s.calls.abandon(id) })
 	if !porcupine.CheckOperations(registerModel, s.calls.history) {
 		s.fatalf("history of %d calls is not linearizable", len(s.calls.history))
 	}
@@ -68,9 +68,9 @@
 // The same seed must bring the same run, or a seed that shows a fault is no use.
 func TestRunsRepeat(t *testing.T) {
 	c := qt.New(t)
-	a, b := runFaults(t, 4), runFaults(t, 4)
-	c.Assert(a.truth.digests, qt.DeepEquals, b.truth.digests)
-	c.Assert(len(a.truth.digests) > 50, qt.IsTrue)
+	a, b := runWithFaults(t, 4), runWithFaults(t, 4)
+	c.Assert(a.invariants.digests, qt.DeepEquals, b.invariants.digests)
+	c.Assert(len(a.invariants.digests) > 50, qt.IsTrue)
 }
 
 // An operator sees a leader that can't reach the majority say so within one
@@ -85,14 +85,14 @@
 	}{{"both ways", true, true}, {"inbound only", true, false}, {"outbound only", false, true}} {
 		t.Run(tc.name, func(t *testing.T) {
 			c := qt.New(t)
-			s := newSim(t, 5, calm(3))
-			s.until("a leader", 200, func() bool { return s.leader() != nil && s.leader().node.log.commit > 1 })
+			s := newSim(t, 5, faultFreeOptions(3))
+			s.runUntil("a leader", 200, func() bool { return s.leader() != nil && s.leader().node.log.commit > 1 })
 			old := s.leader()
 			for _, o := range s.order {
-				s.cuts[link{o, old.id}], s.cuts[link{old.id, o}] = tc.inbound, tc.outbnd
+				s.blockedLinks[link{o, old.id}], s.blockedLinks[link{old.id, o}] = tc.inbound, tc.outbnd
 			}
-			s.until("the old leader steps down", 2*s.opt.electionTicks, func() bool { return old.node.role != RoleLeader })
-			s.until("the others elect", 100, func() bool { return s.leader() != nil })
+			s.runUntil("the old leader steps down", 2*s.opt.electionTicks, func() bool { return old.node.role != RoleLeader })
+			s.runUntil("the others elect", 100, func() bool { return s.leader() != nil })
 			c.Assert(s.leader().id, qt.Not(qt.Equals), old.id)
 			var refused *NotLeaderError
 			c.Assert(errors.As(old.node.Propose([]byte("x")), &refused), qt.IsTrue)
@@ -103,9 +103,9 @@
 			}
 			led := s.leader()
 			term := led.node.term
-			c.Assert(len(s.truth.leaders), qt.Equals, 2, qt.Commentf("elections during the hour"))
+			c.Assert(len(s.invariants.leaders), qt.Equals, 2, qt.Commentf("elections during the hour"))
 			c.Assert(old.node.term <= term, qt.IsTrue)
-			s.settle()
+			s.healAndConverge()
 			c.Assert(led.node.role, qt.Equals, RoleLeader)
 			c.Assert(led.node.term, qt.Equals, term)
 		})
@@ -116,10 +116,10 @@
 // must be there after the restart, with no operator's help.
 func TestAllKilledTogether(t *testing.T) {
 	for seed := uint64(1); seed <= 50; seed++ {
-		s := newSim(t, seed, calm(3))
+		s := newSim(t, seed, faultFreeOptions(3))
 		s.opt.saveDelay, s.opt.compact = 2, 0.05
 		for range 4 {
-			s.until("some writes commit", 500, func() bool {
+			s.runUntil("some writes commit", 500, func() bool {
 				s.calls.start(s)
 				return len(s.calls.history) > 10
 			})
@@ -127,7 +127,7 @@
 				s.crash(s.hosts[id])
 			}
 			s.calls.history = s.calls.history[:0]
-			s.settle()
+			s.healAndConverge()
 			s.opt.compact = 0.05
 		}
 	}
@@ -138,8 +138,8 @@
 // only once a majority held it, so the two that are left go on.
 func TestSecondLossAfterRepair(t *testing.T) {
 	c := qt.New(t)
-	s := newSim(t, 9, calm(3))
-	s.until("a leader", 200, func() bool { return s.leader() != nil && s.leader().node.log.commit > 1 })
+	s := newSim(t, 9, faultFreeOptions(3))
+	s.runUntil("a leader", 200, func() bool { return s.leader() != nil && s.leader().node.log.commit > 1 })
 	lead := s.leader()
 	lost := MemberID(1 + lead.id%3)
 	second := MemberID(1 + lost%3)
@@ -150,8 +150,8 @@
 	s.crash(s.hosts[lost])
 	s.order = slices.DeleteFunc(s.order, func(id MemberID) bool { return id == lost })
 	change := func(ch Change) {
-		s.until("a change is taken", 300, func() bool { return lead.node.ProposeChange(ch) == nil })
-		s.until("the change commits", 300, func() bool { return !lead.node.changePending() })
+		s.runUntil("a change is taken", 300, func() bool { return lead.node.ProposeChange(ch) == nil })
+		s.runUntil("the change commits", 300, func() bool { return !lead.node.changePending() })
 	}
 	change(Change{Type: ChangeRemove, ID: lost})
 	s.addHost(7, Restored{})
@@ -160,7 +160,7 @@
 	s.crash(s.hosts[second])
 	at := lead.node.log.commit
 	c.Assert(lead.node.Propose([]byte("x")), qt.IsNil)
-	s.until("two of three commit", 300, func() bool { return lead.node.log.commit > at && s.hosts[7].node.log.commit > at })
+	s.runUntil("two of three commit", 300, func() bool { return lead.node.log.commit > at && s.hosts[7].node.log.commit > at })
 	s.run(2 * s.opt.electionTicks)
 	c.Assert(lead.node.ProposeChange(Change{Type: ChangeRemove, ID: 7}), qt.Equals, ErrWouldLoseQuorum)
 }
@@ -170,12 +170,12 @@
 // like a fault of the group.
 func TestRemovedMemberKnows(t *testing.T) {
 	c := qt.New(t)
-	s := newSim(t, 3, calm(3))
-	s.until("a leader", 200, func() bool { return s.leader() != nil && s.leader().node.log.commit > 1 })
+	s := newSim(t, 3, faultFreeOptions(3))
+	s.runUntil("a leader", 200, func() bool { return s.leader() != nil && s.leader().node.log.commit > 1 })
 	lead := s.leader()
 	gone := s.hosts[1+lead.id%3]
 	c.Assert(lead.node.ProposeChange(Change{Type: ChangeRemove, ID: gone.id}), qt.IsNil)
-	s.until("it knows", 50, func() bool { return !gone.node.members().IsVoter(gone.id) && !gone.node.changePending() })
+	s.runUntil("it knows", 50, func() bool { return !gone.node.members().IsVoter(gone.id) && !gone.node.changePending() })
 	s.run(10 * s.opt.electionTicks)
 	c.Assert(gone.node.role, qt.Equals, RoleFollower)
 	c.Assert(lead.node.lead.peers, qt.HasLen, 1)
@@ -188,8 +188,8 @@
 	for _, compact := range []bool{false, true} {
 		t.Run(fmt.Sprintf("compacted=%t", compact), func(t *testing.T) {
 			c := qt.New(t)
-			s := newSim(t, 8, calm(3))
-			s.until("a leader", 200, func() bool { return s.leader() != nil && s.leader().node.log.commit > 1 })
+			s := newSim(t, 8, faultFreeOptions(3))
+			s.runUntil("a leader", 200, func() bool { return s.leader() != nil && s.leader().node.log.commit > 1 })
 			lead := s.leader()
 			away := s.hosts[1+lead.id%3]
 			s.crash(away)
@@ -201,7 +201,7 @@
 				s.run(5)
 			}
 			s.opt.compact = 0
-			s.settle()
+			s.healAndConverge()
 			c.Assert(away.disk.Snapshot.Index > 1, qt.Equals, compact)
 			c.Assert(away.app.index >= 500, qt.IsTrue)
 		})
--- a/core/consensus/ready.go
+++ b/core/consensus/ready.go
@@ -1,25 +1,26 @@
 package consensus
 
-// applyBatches bounds the committed entries of one Ready, in MaxBatchBytes.
-const applyBatches = 4
+// maxCommittedBatches bounds the size of the committed entries in one Ready, as a
+// multiple of MaxBatchBytes.
+const maxCommittedBatches = 4
 
-// HasReady tells whether Ready would hold any work.
+// HasReady reports whether a new batch of work is available. It returns false
+// between Ready and Advance.
 func (n *Node) HasReady() bool {
-	if n.pending != nil {
+	if n.pendingReady != nil {
 		return false
 	}
-	return len(n.msgs) > 0 || len(n.reads) > 0 || n.install != nil ||
+	return len(n.msgs) > 0 || len(n.reads) > 0 || n.receivedSnapshot != nil ||
 		n.log.last() > n.log.stable || n.log.commit > n.log.applied ||
-		n.hard() != n.sentHard || n.soft() != n.sentSoft ||
+		n.hard() != n.prevHardState || n.soft() != n.prevSoftState ||
 		n.lead.sendDue || n.readRoundDue()
 }
 
-// Ready gives the next batch of work. It must be followed by Advance before
-// Ready is called again (until then it gives the same batch); Step, Tick and
-// Propose may come in between.
+// Ready returns the next batch of work. It returns the same batch until Advance
+// is called; Step, Tick and Propose may be called in between.
 func (n *Node) Ready() Ready {
-	if n.pending != nil {
-		return *n.pending
+	if n.pendingReady != nil {
+		return *n.pendingReady
 	}
 	if n.role == RoleLeader {
 		n.flush()
@@ -27,38 +28,40 @@
 	hard, soft := n.hard(), n.soft()
 	rd := Ready{
 		HardState:        hard,
-		HardStateChanged: hard != n.sentHard,
+		HardStateChanged: hard != n.prevHardState,
 		Entries:          n.log.slice(n.log.stable, n.log.last(), int(^uint(0)>>1)),
-		Snapshot:         n.install,
+		Snapshot:         n.receivedSnapshot,
 		Messages:         n.msgs,
 		Reads:            n.reads,
 		Role:             soft.role,
 		Leader:           soft.leader,
-		LeaderChanged:    soft != n.sentSoft,
+		LeaderChanged:    soft != n.prevSoftState,
 	}
-	rd.MustSync = len(rd.Entries) > 0 || hard.Term != n.sentHard.Term || hard.Vote != n.sentHard.Vote
+	rd.MustSync = len(rd.Entries) > 0 || hard.Term != n.prevHardState.Term || hard.Vote != n.prevHardState.Vote
 	applied := n.log.applied
-	if n.install != nil {
-		applied = n.install.Index
+	if n.receivedSnapshot != nil {
+		applied = n.receivedSnapshot.Index
 	}
-	rd.Committed = n.log.slice(applied, n.log.commit, applyBatches*n.cfg.MaxBatchBytes)
-	if n.mayEarly() {
+	rd.Committed = n.log.slice(applied, n.log.commit, maxCommittedBatches*n.cfg.MaxBatchBytes)
+	if n.canSendEarly() {
 		rd.Early, rd.Messages = splitEarly(n.msgs)
 	}
-	n.msgs, n.reads, n.install = nil, nil, nil
-	n.sentHard, n.sentSoft = hard, soft
-	n.pending = &rd
+	n.msgs, n.reads, n.receivedSnapshot = nil, nil, nil
+	n.prevHardState, n.prevSoftState = hard, soft
+	n.pendingReady = &rd
 	return rd
 }
 
-// mayEarly tells whether this batch may have Early messages. An append promises
-// nothing about the leader's own copy, which counts once it is saved; but the
-// term and the vote that made it leader must be durable, or it could vote again
-// in the term in which it has already led.
-func (n *Node) mayEarly() bool {
-	return n.cfg.EarlySend && n.term == n.sentHard.Term && n.vote == n.sentHard.Vote
+// canSendEarly reports whether this batch may have Early messages. An append can
+// be sent before the leader has saved the entries, because the leader's own copy
+// counts towards a majority only once it is saved. But the term and the vote with
+// which it became leader must already be durable, or after a crash it could vote
+// again in a term in which it has led.
+func (n *Node) canSendEarly() bool {
+	return n.cfg.EarlySend && n.term == n.prevHardState.Term && n.vote == n.prevHardState.Vote
 }
 
+// splitEarly separates appends and heartbeats from all other messages.
 func splitEarly(msgs []Message) (early, late []Message) {
 	for _, m := range msgs {
 		if m.Type == MsgAppend || m.Type == MsgHeartbeat {
@@ -70,25 +73,25 @@
 	return early, late
 }
 
-// Advance tells that the last Ready was saved, sent and applied.
+// Advance reports to the Node that the last Ready has been saved, sent and applied.
 func (n *Node) Advance() {
-	rd := n.pending
+	rd := n.pendingReady
 	if rd == nil {
 		return
 	}
-	n.pending = nil
+	n.pendingReady = nil
 	if rd.Snapshot != nil {
 		n.log.applied = max(n.log.applied, rd.Snapshot.Index)
 	}
 	if k := len(rd.Committed); k > 0 {
 		n.log.applied = max(n.log.applied, rd.Committed[k-1].Index)
 	}
-	n.stabilize(rd.Entries)
+	n.markStable(rd.Entries)
 }
 
-// stabilize notes that the saved entries are durable, but for those that were
-// overwritten since the batch was taken.
-func (n *Node) stabilize(saved []Entry) {
+// markStable records that the saved entries are durable, except those that have
+// been overwritten since the batch was returned.
+func (n *Node) markStable(saved []Entry) {
 	for i := len(saved) - 1; i >= 0; i-- {
 		e := saved[i]
 		if !n.log.matches(e.Index, e.Term) {
--- a/core/consensus/replicate.go
+++ b/core/consensus/replicate.go
@@ -5,32 +5,33 @@
 	"slices"
 )
 
-// leaderState is what only a leader holds; it is dropped with the office.
+// leaderState is the state that only a leader has. It is discarded when the member
+// stops leading.
 type leaderState struct {
 	peers            map[MemberID]*peer
-	order            []MemberID // of peers, ascending
+	order            []MemberID // keys of peers, ascending
 	heartbeatElapsed int
 	termStart        uint64 // index of this term's first entry
-	uncommitted      int    // bytes appended and not yet committed
-	sendDue          bool   // Ready has to look for something to send
+	uncommitted      int    // size of the entries that are not yet committed
+	sendDue          bool   // the next Ready must check every peer for something to send
 
 	transferee      MemberID
 	transferElapsed int
 
-	round      uint64 // newest read round sent
-	readIndex  uint64
-	confirming []uint64 // reads of that round
-	waiting    []uint64 // reads for the next round
+	readRound   uint64   // latest read round that was started
+	readIndex   uint64   // commit index at the start of that round
+	roundReads  []uint64 // reads waiting for the confirmation of that round
+	queuedReads []uint64 // reads waiting for the next round
 }
 
-// syncPeers makes the table of peers agree with the newest membership. A member
-// that is being removed stays a while, so that it learns of it: else it would
-// go on asking for votes that nobody gives.
+// syncPeers updates the peers to the latest membership. A removed member stays a
+// peer for some time so that it learns of its removal; otherwise it would keep
+// requesting votes that no member grants.
 func (n *Node) syncPeers() {
 	m := n.members()
 	for id, p := range n.lead.peers {
-		if !m.IsVoter(id) && !m.IsLearner(id) && p.departs == 0 {
-			p.departs = n.log.last()
+		if !m.IsVoter(id) && !m.IsLearner(id) && p.removalIndex == 0 {
+			p.removalIndex = n.log.last()
 		}
 	}
 	for _, x := range slices.Concat(m.Voters, m.Learners) {
@@ -38,55 +39,57 @@
 			continue
 		}
 		if n.lead.peers[x.ID] == nil {
-			n.lead.peers[x.ID] = &peer{next: n.log.last() + 1, heard: n.now}
+			n.lead.peers[x.ID] = &peer{next: n.log.last() + 1, lastAckTick: n.now}
 		}
-		n.lead.peers[x.ID].departs, n.lead.peers[x.ID].grace = 0, 0
+		n.lead.peers[x.ID].removalIndex, n.lead.peers[x.ID].removedTicks = 0, 0
 	}
-	n.orderPeers()
+	n.sortPeers()
 	n.lead.sendDue = true
 }
 
-func (n *Node) orderPeers() {
+func (n *Node) sortPeers() {
 	n.lead.order = slices.Sorted(maps.Keys(n.lead.peers))
 }
 
-// dropDeparted forgets removed members one election timeout after the commit of
-// their removal: several heartbeats have told it by then.
-func (n *Node) dropDeparted() {
+// dropRemovedPeers drops removed members more than ElectionTicks ticks after their
+// removal was committed. By then several heartbeats have told them the commit index.
+func (n *Node) dropRemovedPeers() {
 	for _, id := range n.lead.order {
 		p := n.lead.peers[id]
-		if p.departs == 0 {
+		if p.removalIndex == 0 {
 			continue
 		}
-		if p.departs <= n.log.commit {
-			p.grace++
+		if p.removalIndex <= n.log.commit {
+			p.removedTicks++
 		}
-		if p.grace > n.cfg.ElectionTicks {
+		if p.removedTicks > n.cfg.ElectionTicks {
 			delete(n.lead.peers, id)
 		}
 	}
 	if len(n.lead.order) != len(n.lead.peers) {
-		n.orderPeers()
+		n.sortPeers()
 	}
 }
 
-// eachPeer visits the peers in the order of their IDs: the same run must give
-// the same messages every time.
+// eachPeer calls f for each peer in the order of IDs, so that the same inputs
+// always produce the same messages.
 func (n *Node) eachPeer(f func(MemberID, *peer)) {
 	for _, id := range n.lead.order {
 		f(id, n.lead.peers[id])
 	}
 }
 
+// isActive reports whether id is this member, or a peer that has responded within
+// the last ElectionTicks.
 func (n *Node) isActive(id MemberID) bool {
 	if id == n.id {
 		return true
 	}
 	p := n.lead.peers[id]
-	return p != nil && n.now-p.heard < uint64(n.cfg.ElectionTicks)
+	return p != nil && n.now-p.lastAckTick < uint64(n.cfg.ElectionTicks)
 }
 
-// activeQuorum tells whether a majority of m has answered lately.
+// activeQuorum reports whether a majority of the voters in m is active.
 func (n *Node) activeQuorum(m Membership) bool {
 	active := 0
 	for _, v := range m.Voters {
@@ -97,34 +100,35 @@
 	return active >= m.Quorum()
 }
 
-func (n *Node) appendOwn(t EntryType, data []byte) {
+func (n *Node) appendEntry(t EntryType, data []byte) {
 	e := Entry{Index: n.log.last() + 1, Term: n.term, Type: t, Data: data}
 	n.log.append([]Entry{e})
 	n.lead.uncommitted += entrySize(e)
 	n.lead.sendDue = true
 }
 
-// maybeCommit moves the commit index to what a majority of voters holds
-// durably; learners don't count.
+// maybeCommit advances the commit index to the highest index that is durable on a
+// majority of voters, provided that its entry is of the current term. Learners
+// don't count.
 func (n *Node) maybeCommit() {
 	m := n.members()
-	n.scratch = n.scratch[:0]
+	n.matchScratch = n.matchScratch[:0]
 	for _, v := range m.Voters {
 		if v.ID == n.id {
-			n.scratch = append(n.scratch, n.log.stable)
+			n.matchScratch = append(n.matchScratch, n.log.stable)
 		} else if p := n.lead.peers[v.ID]; p != nil {
-			n.scratch = append(n.scratch, p.match)
+			n.matchScratch = append(n.matchScratch, p.match)
 		}
 	}
-	if len(n.scratch) < m.Quorum() {
+	if len(n.matchScratch) < m.Quorum() {
 		return
 	}
-	slices.Sort(n.scratch)
-	index := n.scratch[len(n.scratch)-m.Quorum()]
-	// An entry of an earlier term that a majority holds may still be
-	// overwritten by a leader whose last entry has a later term; callers would
-	// see an applied command vanish. Once an entry of this term is held by a
-	// majority, no such leader can be elected any more.
+	slices.Sort(n.matchScratch)
+	index := n.matchScratch[len(n.matchScratch)-m.Quorum()]
+	// An entry of an earlier term that a majority holds may still be overwritten
+	// by a leader whose last entry has a later term, and an applied command would
+	// disappear. Once a majority holds an entry of this term, no such leader can
+	// be elected.
 	if t, _ := n.log.term(index); index <= n.log.commit || t != n.term {
 		return
 	}
@@ -146,8 +150,8 @@
 	n.log.commit = index
 }
 
-// flush queues what each peer may be sent now. It runs once per Ready, so that
-// proposals made in between leave in one batch.
+// flush queues all messages that can be sent to the peers now. It runs once per
+// Ready, so that proposals made between two batches are sent together.
 func (n *Node) flush() {
 	n.startReadRound()
 	if !n.lead.sendDue {
@@ -170,18 +174,20 @@
 			p.paused = true
 		}
 	case peerReplicate:
-		n.sendAhead(id, p)
+		n.sendPipelined(id, p)
 	}
 }
 
-func (n *Node) sendAhead(id MemberID, p *peer) {
+// sendPipelined sends appends without waiting for their acknowledgements, up to
+// MaxInflight of them.
+func (n *Node) sendPipelined(id MemberID, p *peer) {
 	for p.next <= n.log.last() && len(p.inflight) < n.cfg.MaxInflight {
 		batch := n.log.slice(p.next-1, n.log.last(), n.cfg.MaxBatchBytes)
 		n.sendAppend(id, p, batch)
 		p.next += uint64(len(batch))
 		p.inflight = append(p.inflight, p.next-1)
 	}
-	if p.nudge || p.told < n.log.commit {
+	if p.emptyAppendDue || p.sentCommit < n.log.commit {
 		n.sendAppend(id, p, nil)
 	}
 }
@@ -189,23 +195,23 @@
 func (n *Node) sendAppend(id MemberID, p *peer, entries []Entry) {
 	prevTerm, _ := n.log.term(p.next - 1)
 	n.send(Message{Type: MsgAppend, To: id, Index: p.next - 1, LogTerm: prevTerm, Commit: n.log.commit, Entries: entries})
-	p.told = n.log.commit
-	p.nudge = false
+	p.sentCommit = n.log.commit
+	p.emptyAppendDue = false
 }
 
 func (n *Node) broadcastHeartbeat() {
 	n.lead.heartbeatElapsed = 0
 	n.eachPeer(func(id MemberID, p *peer) {
-		// A peer may hold other entries past match, so it must not be told of
-		// a commit beyond it.
-		n.send(Message{Type: MsgHeartbeat, To: id, Commit: min(p.match, n.log.commit), Round: n.lead.round})
+		// The peer's entries after match may differ from the leader's, so the
+		// commit index sent must not exceed match.
+		n.send(Message{Type: MsgHeartbeat, To: id, Commit: min(p.match, n.log.commit), Round: n.lead.readRound})
 	})
 }
 
 func (n *Node) onAppendAck(p *peer, m Message) {
 	if m.Reject {
-		agree, _ := n.log.conflictHint(m.Hint, m.LogTerm)
-		p.rejected(m.Index, agree+1)
+		candidate, _ := n.log.conflictHint(m.Hint, m.LogTerm)
+		p.handleReject(m.Index, candidate+1)
 		n.lead.sendDue = true
 		return
 	}
@@ -214,31 +220,31 @@
 	}
 	n.lead.sendDue = true
 	if p.state == peerSnapshot && m.Index < n.log.base {
-		p.snapshotAcked(m.Index)
+		p.handleAckBeforeLog(m.Index)
 		return
 	}
-	p.ack(m.Index)
+	p.handleAck(m.Index)
 	n.maybeCommit()
-	n.maybeHandOver(m.From, p)
+	n.maybeSendTimeoutNow(m.From, p)
 }
 
 func (n *Node) onHeartbeatAck(p *peer, m Message) {
-	p.round = max(p.round, min(m.Round, n.lead.round))
+	p.readRound = max(p.readRound, min(m.Round, n.lead.readRound))
 	n.confirmReads()
 	if p.snap != nil {
-		p.snap.age()
+		p.snap.countHeartbeatAck()
 		n.lead.sendDue = true
 	}
 	if p.match < n.log.last() {
 		p.paused = false
-		p.nudge = true
+		p.emptyAppendDue = true
 		n.lead.sendDue = true
 	}
 }
 
 func (n *Node) onAppend(m Message) {
 	n.incoming = nil
-	// What is committed here agrees with any leader's log; skip it.
+	// Committed entries match the log of every later leader, so skip them.
 	if skip := n.log.commit - min(n.log.commit, m.Index); skip > 0 {
 		t, _ := n.log.term(n.log.commit)
 		m.Entries = m.Entries[min(skip, uint64(len(m.Entries))):]
@@ -255,9 +261,9 @@
 	n.send(Message{Type: MsgAppendAck, To: m.From, Index: last})
 }
 
-// merge takes in entries that follow an agreed one. Only a real conflict
-// truncates: a delayed append must not take back entries that came after it
-// and were acknowledged.
+// merge adds entries that follow a matching entry. It truncates the log only at a
+// conflicting entry: a delayed append must not remove later entries that have
+// been acknowledged.
 func (n *Node) merge(entries []Entry) {
 	for i, e := range entries {
 		if n.log.matches(e.Index, e.Term) {
@@ -265,11 +271,11 @@
 		}
 		if e.Index <= n.log.last() {
 			n.log.truncate(e.Index)
-			n.mems = n.mems.truncate(e.Index)
+			n.membershipHistory = n.membershipHistory.truncate(e.Index)
 		}
 		n.log.append(entries[i:])
-		if err := n.noteMemberships(entries[i:]); err != nil {
-			panic(err) // validate has decoded each of them
+		if err := n.recordMemberships(entries[i:]); err != nil {
+			panic(err) // unreachable: validate has already decoded each of them
 		}
 		return
 	}
--- a/core/consensus/restart_test.go
+++ b/core/consensus/restart_test.go
@@ -12,22 +12,22 @@
 // before the usual shortest timeout is over.
 func TestGroupThatStoppedWholeHasALeaderSoon(t *testing.T) {
 	for seed := range uint64(20) {
-		opt := calm(3)
+		opt := faultFreeOptions(3)
 		s := newSim(t, seed, opt)
-		s.until("a leader", 200, func() bool { return s.leader() != nil })
+		s.runUntil("a leader", 200, func() bool { return s.leader() != nil })
 		s.run(20)
 		for _, id := range s.order {
 			s.crash(s.hosts[id])
 		}
 		s.heal()
 		// One tick more, for the members' clocks lose one in twenty.
-		s.until("a member that stands", opt.electionTicks+1, s.anyStands)
-		s.until("a leader again", 2*opt.electionTicks, func() bool { return s.leader() != nil })
+		s.runUntil("a member that stands", opt.electionTicks+1, s.anyCampaigning)
+		s.runUntil("a leader again", 2*opt.electionTicks, func() bool { return s.leader() != nil })
 	}
 }
 
 // anyStands tells whether a member asks for votes, or has them already.
-func (s *sim) anyStands() bool {
+func (s *sim) anyCampaigning() bool {
 	for _, h := range s.hosts {
 		if h.node != nil && h.node.role != RoleFollower {
 			return true
@@ -41,8 +41,8 @@
 func TestRestartedMemberDisturbsNoLeader(t *testing.T) {
 	c := qt.New(t)
 	for seed := range uint64(20) {
-		s := newSim(t, seed, calm(3))
-		s.until("a leader", 200, func() bool { return s.leader() != nil })
+		s := newSim(t, seed, faultFreeOptions(3))
+		s.runUntil("a leader", 200, func() bool { return s.leader() != nil })
 		s.run(20)
 		leader, term := s.leader().id, s.leader().node.term
 		for _, id := range s.order {
--- a/core/consensus/sim_test.go
+++ b/core/consensus/sim_test.go
@@ -9,49 +9,49 @@
 
 // simOptions are the faults of one run, as probabilities per tick or message.
 type simOptions struct {
-	voters                       int
-	loss, duplicate, crash, cut  float64
-	delay, saveDelay             int // most ticks in transit, and for a save
-	changes, compact, transfers  float64
-	ops                          int // client calls in all
-	electionTicks, batch, window int
-	early                        bool
+	voters                            int
+	loss, duplicate, crash, partition float64
+	delay, saveDelay                  int // most ticks in transit, and for a save
+	changes, compact, transfers       float64
+	maxCalls                          int // client calls in all
+	electionTicks, batch, window      int
+	early                             bool
 }
 
 type link struct{ from, to MemberID }
 
 // host is one member's process and disk.
 type host struct {
-	id   MemberID
-	disk Restored
-	node *Node // nil while down
-	rd   *Ready
-	due  int
-	app  *registers
+	id           MemberID
+	disk         Restored
+	node         *Node // nil while down
+	rd           *Ready
+	saveDoneTick int
+	app          *registers
 }
 
 // sim drives members over a faulty network in virtual time. All randomness
 // comes from the seed.
 type sim struct {
-	t     testing.TB
-	name  string
-	rng   *rand.Rand
-	opt   simOptions
-	now   int
-	hosts map[MemberID]*host
-	order []MemberID
-	mail  map[int][]Message
-	cuts  map[link]bool
-	truth truth
-	calls *callers
+	t            testing.TB
+	name         string
+	rng          *rand.Rand
+	opt          simOptions
+	now          int
+	hosts        map[MemberID]*host
+	order        []MemberID
+	inTransit    map[int][]Message
+	blockedLinks map[link]bool
+	invariants   invariants
+	calls        *clientCalls
 }
 
 func newSim(t testing.TB, seed uint64, opt simOptions) *sim {
 	s := &sim{
 		t: t, name: fmt.Sprintf("seed %d", seed), rng: rand.New(rand.NewPCG(seed, 0xa1)), opt: opt,
-		hosts: map[MemberID]*host{}, mail: map[int][]Message{}, cuts: map[link]bool{}, truth: newTruth(),
+		hosts: map[MemberID]*host{}, inTransit: map[int][]Message{}, blockedLinks: map[link]bool{}, invariants: newInvariants(),
 	}
-	s.calls = &callers{waiting: map[uint64]*call{}}
+	s.calls = &clientCalls{waiting: map[uint64]*call{}}
 	var m Membership
 	for i := 1; i <= opt.voters; i++ {
 		m.Voters = append(m.Voters, Member{ID: MemberID(i), Addr: fmt.Sprint("m", i)})
@@ -101,7 +101,7 @@
 		h.disk.save(HardState{}, h.rd.Entries[:s.rng.IntN(len(h.rd.Entries)+1)])
 	}
 	h.node, h.rd = nil, nil
-	s.calls.hostDown(s, h.id)
+	s.calls.hostCrashed(s, h.id)
 }
 
 func (r *Restored) save(hs HardState, entries []Entry) {
@@ -126,33 +126,33 @@
 }
 
 // work carries out Ready batches in the order that the package comment asks for.
-func (s *sim) work(h *host) {
+func (s *sim) processReady(h *host) {
 	for h.node != nil {
 		if h.rd == nil {
 			if !h.node.HasReady() {
 				return
 			}
 			rd := h.node.Ready()
-			h.rd, h.due = &rd, s.now+s.rng.IntN(s.opt.saveDelay+1)
-			s.truth.checkReady(s, h, rd)
+			h.rd, h.saveDoneTick = &rd, s.now+s.rng.IntN(s.opt.saveDelay+1)
+			s.invariants.checkReady(s, h, rd)
 			for _, m := range rd.Early {
-				s.post(m)
+				s.sendMessage(m)
 			}
 		}
-		if h.due > s.now {
+		if h.saveDoneTick > s.now {
 			return
 		}
-		s.finish(h)
+		s.finishReady(h)
 	}
 }
 
-func (s *sim) finish(h *host) {
+func (s *sim) finishReady(h *host) {
 	rd := h.rd
 	if rd.Snapshot != nil {
 		h.disk.saveSnapshot(*rd.Snapshot)
 		h.app = decodeRegisters(rd.Snapshot.Data)
 		h.app.index = rd.Snapshot.Index
-		s.truth.checkDigest(s, h)
+		s.invariants.checkDigest(s, h)
 	}
 	h.disk.save(rd.HardState, rd.Entries)
 	h.rd = nil
@@ -161,12 +161,12 @@
 		return
 	}
 	for _, m := range rd.Messages {
-		s.post(m)
+		s.sendMessage(m)
 	}
 	for _, e := range rd.Committed {
-		s.truth.checkCommitted(s, h, e, rd.HardState.Term)
+		s.invariants.checkCommitted(s, h, e, rd.HardState.Term)
 		h.app.apply(e)
-		s.truth.checkDigest(s, h)
+		s.invariants.checkDigest(s, h)
 		s.calls.applied(s, h, e)
 	}
 	s.calls.readsReady(s, h, rd.Reads)
@@ -180,7 +180,7 @@
 	}
 }
 
-func (s *sim) post(m Message) {
+func (s *sim) sendMessage(m Message) {
 	copies := 1
 	if s.rng.Float64() < s.opt.duplicate {
 		copies = 2
@@ -188,24 +188,24 @@
 	for range copies {
 		if s.rng.Float64() >= s.opt.loss {
 			at := s.now + 1 + s.rng.IntN(s.opt.delay)
-			s.mail[at] = append(s.mail[at], m)
+			s.inTransit[at] = append(s.inTransit[at], m)
 		}
 	}
 }
 
 func (s *sim) deliver() {
-	due := s.mail[s.now]
-	delete(s.mail, s.now)
+	due := s.inTransit[s.now]
+	delete(s.inTransit, s.now)
 	s.rng.Shuffle(len(due), func(i, j int) { due[i], due[j] = due[j], due[i] })
 	for _, m := range due {
 		h := s.hosts[m.To]
-		if h == nil || h.node == nil || s.cuts[link{m.From, m.To}] {
+		if h == nil || h.node == nil || s.blockedLinks[link{m.From, m.To}] {
 			continue
 		}
 		if err := h.node.Step(m); err != nil {
 			s.fatalf("step %+v: %v", m, err)
 		}
-		s.work(h)
+		s.processReady(h)
 	}
 }
 
@@ -218,7 +218,7 @@
 		if h.node != nil && s.rng.IntN(20) > 0 {
 			h.node.Tick()
 		}
-		s.work(h)
+		s.processReady(h)
 	}
 }
 
@@ -231,13 +231,13 @@
 // isolate cuts id from all others; inbound alone when oneWay.
 func (s *sim) isolate(id MemberID, oneWay bool) {
 	for _, o := range s.order {
-		s.cuts[link{o, id}] = true
-		s.cuts[link{id, o}] = !oneWay
+		s.blockedLinks[link{o, id}] = true
+		s.blockedLinks[link{id, o}] = !oneWay
 	}
 }
 
 func (s *sim) heal() {
-	s.cuts = map[link]bool{}
+	s.blockedLinks = map[link]bool{}
 	for _, id := range s.order {
 		if h := s.hosts[id]; h.node == nil {
 			s.start(h)
@@ -257,7 +257,7 @@
 	return best
 }
 
-func (s *sim) until(what string, ticks int, done func() bool) {
+func (s *sim) runUntil(what string, ticks int, done func() bool) {
 	s.t.Helper()
 	for range ticks {
 		if done() {
@@ -269,7 +269,7 @@
 }
 
 // faults brings about the faults of one tick.
-func (s *sim) faults() {
+func (s *sim) injectFaults() {
 	for _, id := range s.order {
 		h := s.hosts[id]
 		switch {
@@ -279,24 +279,24 @@
 			s.crash(h)
 		}
 	}
-	if s.rng.Float64() < s.opt.cut {
+	if s.rng.Float64() < s.opt.partition {
 		s.isolate(s.order[s.rng.IntN(len(s.order))], s.rng.IntN(2) == 0)
 	}
-	if s.rng.Float64() < s.opt.cut {
+	if s.rng.Float64() < s.opt.partition {
 		a, b := s.order[s.rng.IntN(len(s.order))], s.order[s.rng.IntN(len(s.order))]
-		s.cuts[link{a, b}] = true
+		s.blockedLinks[link{a, b}] = true
 	}
-	if s.rng.Float64() < 2*s.opt.cut {
-		s.cuts = map[link]bool{}
+	if s.rng.Float64() < 2*s.opt.partition {
+		s.blockedLinks = map[link]bool{}
 	}
 	if h := s.leader(); h != nil {
-		s.operate(h)
+		s.randomOperatorAction(h)
 	}
 }
 
 // operate is an operator who changes membership and moves the leader about.
 // The leader's refusals are part of the run.
-func (s *sim) operate(h *host) {
+func (s *sim) randomOperatorAction(h *host) {
 	m := h.node.members()
 	if s.rng.Float64() < s.opt.transfers {
 		_ = h.node.TransferLeadership(m.Voters[s.rng.IntN(len(m.Voters))].ID)
@@ -320,15 +320,15 @@
 
 // settle ends all faults and demands that the group works again: one leader,
 // a new command applied by every member, and the same state everywhere.
-func (s *sim) settle() {
+func (s *sim) healAndConverge() {
 	s.t.Helper()
 	s.heal()
 	s.opt.loss, s.opt.duplicate, s.opt.crash, s.opt.compact = 0, 0, 0, 0
-	s.until("a write commits after healing", 100*s.opt.electionTicks, func() bool {
+	s.runUntil("a write commits after healing", 100*s.opt.electionTicks, func() bool {
 		h := s.leader()
 		return h != nil && h.node.log.commit >= h.node.lead.termStart && h.node.Propose([]byte("no register command")) == nil
 	})
-	s.until("all members apply the same log", 100*s.opt.electionTicks, func() bool {
+	s.runUntil("all members apply the same log", 100*s.opt.electionTicks, func() bool {
 		h := s.leader()
 		if h == nil || h.node.log.applied != h.node.log.last() {
 			return false
--- a/core/consensus/snapshot.go
+++ b/core/consensus/snapshot.go
@@ -2,38 +2,38 @@
 
 import "fmt"
 
-// chunkRetryAge is how many heartbeat answers may pass before a chunk that
-// wasn't acknowledged is sent again.
-const chunkRetryAge = 2
+// chunkRetryHeartbeats is the number of heartbeat acknowledgements after which an
+// unacknowledged chunk is sent again.
+const chunkRetryHeartbeats = 2
 
-// outgoingSnapshot is a snapshot on its way to one peer, one chunk at a time.
-// It stays the same one even if the leader compacts again meanwhile.
+// outgoingSnapshot is a snapshot that is being sent to one peer, one chunk at a
+// time. It is not replaced when the leader compacts again during the transfer.
 type outgoingSnapshot struct {
-	snap   Snapshot
-	offset uint64
-	sent   bool
-	aged   int
+	snap          Snapshot
+	offset        uint64
+	sent          bool
+	heartbeatAcks int
 }
 
 func (p *peer) startSnapshot(s Snapshot) {
-	p.probe(s.Index + 1)
+	p.startProbe(s.Index + 1)
 	p.state = peerSnapshot
 	p.snap = &outgoingSnapshot{snap: s}
 }
 
-// snapshotAcked notes an acknowledgement from before the start of the log. Once
-// it covers the snapshot that was sent, the log has been compacted past it
-// meanwhile, and a newer snapshot has to follow.
-func (p *peer) snapshotAcked(index uint64) {
+// handleAckBeforeLog records an acknowledgement of an index before the first entry
+// in the log. If it covers the snapshot that was sent, the log has since been
+// compacted beyond that snapshot, and a newer one must be sent.
+func (p *peer) handleAckBeforeLog(index uint64) {
 	p.match = max(p.match, index)
 	if index >= p.snap.snap.Index {
-		p.probe(index + 1)
+		p.startProbe(index + 1)
 	}
 }
 
-func (o *outgoingSnapshot) age() {
-	o.aged++
-	if o.aged >= chunkRetryAge {
+func (o *outgoingSnapshot) countHeartbeatAck() {
+	o.heartbeatAcks++
+	if o.heartbeatAcks >= chunkRetryHeartbeats {
 		o.sent = false
 	}
 }
@@ -48,7 +48,7 @@
 	n.send(Message{Type: MsgSnapshot, To: id, Index: o.snap.Index, LogTerm: o.snap.Term, Chunk: &SnapshotChunk{
 		Membership: o.snap.Membership, Offset: o.offset, Total: total, Data: o.snap.Data[o.offset:end],
 	}})
-	o.sent, o.aged = true, 0
+	o.sent, o.heartbeatAcks = true, 0
 }
 
 func (n *Node) onSnapshotAck(p *peer, m Message) {
@@ -60,9 +60,9 @@
 	n.lead.sendDue = true
 }
 
-// incomingSnapshot is a snapshot that is being received. It belongs to one
-// leader and term: two leaders may encode one state in different bytes, and a
-// mixture would be neither.
+// incomingSnapshot is a snapshot that is being received. All its chunks come from
+// one leader in one term: two leaders may encode the same state differently, and
+// a mixture of their chunks would be corrupt.
 type incomingSnapshot struct {
 	from    MemberID
 	term    uint64
@@ -72,7 +72,7 @@
 	data    []byte
 }
 
-func (in *incomingSnapshot) belongs(m Message) bool {
+func (in *incomingSnapshot) matches(m Message) bool {
 	return in != nil && in.from == m.From && in.term == m.Term && in.index == m.Index &&
 		in.logTerm == m.LogTerm && in.total == m.Chunk.Total
 }
@@ -92,7 +92,7 @@
 		n.send(Message{Type: MsgAppendAck, To: m.From, Index: n.log.commit})
 		return
 	}
-	if !n.incoming.belongs(m) {
+	if !n.incoming.matches(m) {
 		n.incoming = &incomingSnapshot{from: m.From, term: m.Term, index: m.Index, logTerm: m.LogTerm, total: m.Chunk.Total}
 	}
 	in := n.incoming
@@ -108,15 +108,15 @@
 	n.send(Message{Type: MsgAppendAck, To: m.From, Index: m.Index})
 }
 
-// installSnapshot replaces the log, unless the log already holds the entry that
-// the snapshot ends with: then the entries after it may have been acknowledged
-// and must stay.
+// installSnapshot replaces the log with the snapshot, unless the log already holds
+// the last entry that the snapshot covers. In that case the later entries may have
+// been acknowledged and must be kept.
 func (n *Node) installSnapshot(s Snapshot) {
 	if n.log.matches(s.Index, s.Term) {
 		n.commitTo(s.Index)
 		return
 	}
 	n.log.reset(s)
-	n.mems = memberships{{index: s.Index, m: s.Membership}}
-	n.install = &s
+	n.membershipHistory = memberships{{index: s.Index, membership: s.Membership}}
+	n.receivedSnapshot = &s
 }
--- a/core/consensus/step.go
+++ b/core/consensus/step.go
@@ -2,12 +2,13 @@
 
 import "fmt"
 
-// Step takes one message of a peer; it keeps the slices in it. An error
-// (ErrWrongMember, ErrMalformed) means that the message was dropped without
-// any effect.
+// Step processes one message from a peer. It keeps the message's slices. An error
+// (ErrWrongMember or ErrMalformed) means that the message was dropped without any
+// effect.
 func (n *Node) Step(m Message) error {
-	// An address may have passed to a member with a new data folder. Were it to
-	// answer for the old one, a forgotten vote would count a second time.
+	// The sender may mean an earlier member at this address, which had another
+	// data directory. If this member responded in its place, it could vote a second
+	// time in a term in which the earlier member has voted.
 	if m.To != n.id {
 		return ErrWrongMember
 	}
@@ -15,18 +16,21 @@
 		return err
 	}
 	if m.Term < n.term {
-		n.answerStale(m)
+		n.replyToStale(m)
 		return nil
 	}
-	if m.Term > n.term && !n.followTerm(m) {
+	if m.Term > n.term && !n.adoptTerm(m) {
 		return nil
 	}
 	n.dispatch(m)
 	return nil
 }
 
-// followTerm moves to a later term where m asks for it; false drops m.
-func (n *Node) followTerm(m Message) bool {
+// adoptTerm handles a message of a later term. It adopts that term, except for a
+// pre-vote request or a granted pre-vote, and reports whether m is to be
+// processed. While the leader lease holds, pre-vote requests and vote requests
+// without Force are dropped.
+func (n *Node) adoptTerm(m Message) bool {
 	switch m.Type {
 	case MsgPreVote:
 		return !n.inLease()
@@ -44,10 +48,11 @@
 	return true
 }
 
-// answerStale tells a sender of an earlier term about ours. A leader must learn
-// it: a member that moved its term and then lost its link would otherwise
-// refuse that leader for ever while the leader's lease keeps others from voting.
-func (n *Node) answerStale(m Message) {
+// replyToStale informs a sender of an earlier term about the current term. A
+// leader must learn of it. Otherwise a member that raised its term and then lost
+// its connection would reject that leader forever, while the leader's lease keeps
+// the other members from voting.
+func (n *Node) replyToStale(m Message) {
 	switch m.Type {
 	case MsgAppend, MsgHeartbeat, MsgSnapshot:
 		n.send(Message{Type: MsgAppendAck, To: m.From, Reject: true})
@@ -65,17 +70,17 @@
 	case MsgPreVoteAck, MsgVoteAck:
 		n.onVoteAck(m)
 	case MsgAppend, MsgHeartbeat, MsgSnapshot:
-		n.fromLeader(m)
+		n.handleLeaderMessage(m)
 	case MsgTimeoutNow:
 		n.onTimeoutNow()
 	case MsgAppendAck, MsgHeartbeatAck, MsgSnapshotAck:
-		n.toLeader(m)
+		n.handlePeerResponse(m)
 	}
 }
 
-func (n *Node) fromLeader(m Message) {
+func (n *Node) handleLeaderMessage(m Message) {
 	if n.role == RoleLeader {
-		return // a second leader of this term is impossible; never follow one
+		return // a term has only one leader, so never follow another one
 	}
 	if n.role != RoleFollower || n.leader != m.From {
 		n.becomeFollower(m.Term, m.From)
@@ -91,7 +96,7 @@
 	}
 }
 
-func (n *Node) toLeader(m Message) {
+func (n *Node) handlePeerResponse(m Message) {
 	if n.role != RoleLeader {
 		return
 	}
@@ -99,7 +104,7 @@
 	if p == nil {
 		return
 	}
-	p.heard = n.now
+	p.lastAckTick = n.now
 	switch m.Type {
 	case MsgAppendAck:
 		n.onAppendAck(p, m)
--- a/core/consensus/truth_test.go
+++ b/core/consensus/truth_test.go
@@ -60,7 +60,7 @@
 }
 
 // truth is what the whole group has done so far, seen from outside.
-type truth struct {
+type invariants struct {
 	leaders map[uint64]MemberID      // by term
 	entries map[[2]uint64][2]uint64  // (index, term) → (digest, term of the entry before)
 	commits map[uint64][2]uint64     // index → (term of the entry, term it was committed in)
@@ -69,11 +69,11 @@
 	highest uint64
 }
 
-func newTruth() truth {
-	return truth{map[uint64]MemberID{}, map[[2]uint64][2]uint64{}, map[uint64][2]uint64{}, map[uint64]uint64{}, map[[2]uint64]Membership{}, 0}
+func newInvariants() invariants {
+	return invariants{map[uint64]MemberID{}, map[[2]uint64][2]uint64{}, map[uint64][2]uint64{}, map[uint64]uint64{}, map[[2]uint64]Membership{}, 0}
 }
 
-func (t *truth) checkReady(s *sim, h *host, rd Ready) {
+func (t *invariants) checkReady(s *sim, h *host, rd Ready) {
 	if h.node.role == RoleLeader {
 		t.checkLeader(s, h)
 	}
@@ -87,7 +87,7 @@
 
 // checkLeader proves: one leader a term, and each leader holds all that was
 // committed in earlier terms.
-func (t *truth) checkLeader(s *sim, h *host) {
+func (t *invariants) checkLeader(s *sim, h *host) {
 	n := h.node
 	if first, ok := t.leaders[n.term]; ok {
 		if first != h.id {
@@ -106,7 +106,7 @@
 
 // checkEntry proves log matching: an index and term name one entry and one
 // entry before it; and that memberships change by one voter at a time.
-func (t *truth) checkEntry(s *sim, h *host, e Entry) {
+func (t *invariants) checkEntry(s *sim, h *host, e Entry) {
 	prior, _ := h.node.log.term(e.Index - 1)
 	key := [2]uint64{e.Index, e.Term}
 	val := [2]uint64{entryDigest(0, e), prior}
@@ -120,7 +120,7 @@
 	if e.Type != EntryMembership {
 		return
 	}
-	before, after := h.node.mems.at(e.Index-1), h.node.mems.at(e.Index)
+	before, after := h.node.membershipHistory.at(e.Index-1), h.node.membershipHistory.at(e.Index)
 	changed := 0
 	for _, v := range after.Voters {
 		if !before.IsVoter(v.ID) {
@@ -138,7 +138,7 @@
 }
 
 // checkCommitted proves that applied entries are never lost, reordered or replaced.
-func (t *truth) checkCommitted(s *sim, h *host, e Entry, term uint64) {
+func (t *invariants) checkCommitted(s *sim, h *host, e Entry, term uint64) {
 	if e.Index != h.app.index+1 {
 		s.fatalf("member %d applies %d after %d", h.id, e.Index, h.app.index)
 	}
@@ -152,7 +152,7 @@
 	t.highest = max(t.highest, e.Index)
 }
 
-func (t *truth) checkDigest(s *sim, h *host) {
+func (t *invariants) checkDigest(s *sim, h *host) {
 	if d, ok := t.digests[h.app.index]; ok && d != h.app.Digest {
 		s.fatalf("member %d: state at %d differs from another's", h.id, h.app.index)
 	}
@@ -161,15 +161,15 @@
 
 // call is one client call under way.
 type call struct {
-	op    porcupine.Operation
-	host  MemberID
-	key   int
-	index uint64 // a read waits until this index is applied
-	armed bool
+	op         porcupine.Operation
+	host       MemberID
+	key        int
+	index      uint64 // a read waits until this index is applied
+	indexKnown bool
 }
 
 // callers make calls of a register service and keep the history.
-type callers struct {
+type clientCalls struct {
 	next    uint64
 	waiting map[uint64]*call
 	history []porcupine.Operation
@@ -182,7 +182,7 @@
 }
 
 // start makes one call to a member that believes that it leads.
-func (c *callers) start(s *sim) {
+func (c *clientCalls) start(s *sim) {
 	var able []*host
 	for _, id := range s.order {
 		if h := s.hosts[id]; h.node != nil && h.node.role == RoleLeader {
@@ -206,7 +206,7 @@
 	}
 }
 
-func (c *callers) finish(s *sim, id uint64, out int) {
+func (c *clientCalls) finish(s *sim, id uint64, out int) {
 	k := c.waiting[id]
 	k.op.Output, k.op.Return = out, 2*int64(s.now)+1
 	c.history = append(c.history, k.op)
@@ -214,7 +214,7 @@
 }
 
 // giveUp ends a call with an unknown outcome: a write may still take effect.
-func (c *callers) giveUp(id uint64) {
+func (c *clientCalls) abandon(id uint64) {
 	if k := c.waiting[id]; k.op.Input.(input).write {
 		k.op.Output, k.op.Return = 0, math.MaxInt64
 		c.history = append(c.history, k.op)
@@ -222,7 +222,7 @@
 	delete(c.waiting, id)
 }
 
-func (c *callers) each(f func(uint64, *call)) {
+func (c *clientCalls) each(f func(uint64, *call)) {
 	ids := make([]uint64, 0, len(c.waiting))
 	for id := range c.waiting {
 		ids = append(ids, id)
@@ -233,23 +233,23 @@
 	}
 }
 
-func (c *callers) hostDown(s *sim, h MemberID) {
+func (c *clientCalls) hostCrashed(s *sim, h MemberID) {
 	c.each(func(id uint64, k *call) {
 		if k.host == h {
-			c.giveUp(id)
+			c.abandon(id)
 		}
 	})
 }
 
-func (c *callers) expire(s *sim) {
+func (c *clientCalls) expire(s *sim) {
 	c.each(func(id uint64, k *call) {
 		if 2*int64(s.now)-k.op.Call > int64(20*s.opt.electionTicks) {
-			c.giveUp(id)
+			c.abandon(id)
 		}
 	})
 }
 
-func (c *callers) applied(s *sim, h *host, e Entry) {
+func (c *clientCalls) applied(s *sim, h *host, e Entry) {
 	var cmd command
 	if e.Type == EntryCommand && Decode(e.Data, &cmd) == nil {
 		if k := c.waiting[cmd.Call]; k != nil && k.host == h.id {
@@ -259,24 +259,24 @@
 	c.answerReads(s, h)
 }
 
-func (c *callers) readsReady(s *sim, h *host, reads []ReadState) {
+func (c *clientCalls) readsReady(s *sim, h *host, reads []ReadState) {
 	for _, r := range reads {
 		k := c.waiting[r.Ctx]
 		if k == nil || k.host != h.id {
 			continue
 		}
 		if r.Lost {
-			c.giveUp(r.Ctx)
+			c.abandon(r.Ctx)
 			continue
 		}
-		k.index, k.armed = r.Index, true
+		k.index, k.indexKnown = r.Index, true
 	}
 	c.answerReads(s, h)
 }
 
-func (c *callers) answerReads(s *sim, h *host) {
+func (c *clientCalls) answerReads(s *sim, h *host) {
 	c.each(func(id uint64, k *call) {
-		if k.armed && k.host == h.id && h.app.index >= k.index {
+		if k.indexKnown && k.host == h.id && h.app.index >= k.index {
 			c.finish(s, id, h.app.Values[k.key])
 		}
 	})
--- a/core/consensus/types.go
+++ b/core/consensus/types.go
@@ -1,27 +1,27 @@
 package consensus
 
-// MemberID names one member for the life of its data folder. It is drawn at
-// random when the folder is made; a member whose folder was lost or replaced
-// comes back as a new MemberID, because a voter that forgot its vote could vote
-// twice in one term. Zero is nobody.
+// MemberID identifies a member for the lifetime of its data directory. It is
+// chosen at random when the directory is created. A member whose directory was
+// lost or replaced rejoins under a new MemberID, because a voter that has lost
+// its vote could vote twice in one term. Zero means no member.
 type MemberID uint64
 
-// EntryType says what an entry's Data holds.
+// EntryType is the type of an entry's Data.
 type EntryType uint8
 
 // The entry types.
 const (
-	// EntryCommand carries data of the replicated state machine.
+	// EntryCommand carries a command for the replicated state machine.
 	EntryCommand EntryType = iota + 1
 	// EntryMembership carries an encoded Membership.
 	EntryMembership
-	// EntryNoop is what a new leader writes to commit in its own term.
+	// EntryNoop is appended by a new leader to commit an entry of its own term.
 	EntryNoop
 )
 
 // Entry is one record of the replicated log. Index starts at 1 and has no gaps;
-// Term is that of the leader that made the entry. Data is never changed after
-// the entry was made.
+// Term is the term of the leader that created the entry. Data is immutable once
+// the entry has been created.
 type Entry struct {
 	Index uint64    `cbor:"1,keyasint"`
 	Term  uint64    `cbor:"2,keyasint"`
@@ -29,28 +29,30 @@
 	Data  []byte    `cbor:"4,keyasint,omitempty"`
 }
 
-// HardState is what a member must remember over a crash besides its log.
+// HardState is the state, apart from the log, that must survive a crash of the
+// member.
 type HardState struct {
 	Term   uint64   `cbor:"1,keyasint"`
 	Vote   MemberID `cbor:"2,keyasint"`
 	Commit uint64   `cbor:"3,keyasint"`
 }
 
-// Member is one member of the group and the address its peers dial.
+// Member is one member of the group and the address that its peers dial.
 type Member struct {
 	ID   MemberID `cbor:"1,keyasint"`
 	Addr string   `cbor:"2,keyasint"`
 }
 
-// Membership is the whole group. Voters elect and commit; learners only receive
-// the log. No member is in both lists; each list is sorted by ID.
+// Membership lists all members of the group. Voters take part in elections and
+// in commit majorities; learners only receive the log. No member is in both
+// lists; each list is sorted by ID.
 type Membership struct {
 	Voters   []Member `cbor:"1,keyasint"`
 	Learners []Member `cbor:"2,keyasint,omitempty"`
 }
 
-// Snapshot stands for all entries up to and including Index. Data is opaque to
-// this package.
+// Snapshot replaces all entries up to and including Index. Data is the encoded
+// state of the state machine and is opaque to this package.
 type Snapshot struct {
 	Index      uint64     `cbor:"1,keyasint"`
 	Term       uint64     `cbor:"2,keyasint"`
@@ -58,15 +60,16 @@
 	Data       []byte     `cbor:"4,keyasint,omitempty"`
 }
 
-// Restored is what a member read back from its data folder. The zero value is
-// a member that has never been part of a group: it waits to be added.
+// Restored is the state that a member has read from its data directory. The zero
+// value belongs to a member that has never been part of a group and waits to be
+// added to one.
 type Restored struct {
 	HardState HardState
 	Snapshot  Snapshot
-	Entries   []Entry // those after Snapshot.Index, contiguous
+	Entries   []Entry // the entries after Snapshot.Index, contiguous
 }
 
-// Role is what a member does at present.
+// Role is a member's current Raft role.
 type Role uint8
 
 // The roles.
@@ -77,7 +80,7 @@
 	RoleLeader
 )
 
-// String gives the role in lower case, as status pages print it.
+// String returns the role in lower case, as status pages print it.
 func (r Role) String() string {
 	switch r {
 	case RoleFollower:
@@ -92,17 +95,17 @@
 	return "unknown"
 }
 
-// ChangeType says what a Change does.
+// ChangeType is the type of a membership Change.
 type ChangeType uint8
 
-// The membership changes. A voter is only ever made by promoting a learner.
+// The membership changes. The only way to add a voter is to promote a learner.
 const (
 	ChangeAddLearner ChangeType = iota + 1
 	ChangePromote
 	ChangeRemove
 )
 
-// String gives the change as logs print it.
+// String returns the type of the change as logs print it.
 func (t ChangeType) String() string {
 	switch t {
 	case ChangeAddLearner:
@@ -115,66 +118,73 @@
 	return "unknown"
 }
 
-// Change is one step of membership. Addr matters for ChangeAddLearner only.
+// Change adds, promotes or removes one member. Addr is used by ChangeAddLearner
+// only.
 type Change struct {
 	Type ChangeType
 	ID   MemberID
 	Addr string
 }
 
-// ReadState answers one ReadIndex call. With Lost false, a read is linearizable
-// once the state machine has applied Index. With Lost true leadership ended
-// before a majority had confirmed it, and the read must be asked again.
+// ReadState is the result of one ReadIndex call. If Lost is false, the read is
+// linearizable once the state machine has applied Index. If Lost is true,
+// leadership ended before a majority confirmed it, and the read must be retried.
 type ReadState struct {
 	Ctx   uint64
 	Index uint64
 	Lost  bool
 }
 
-// Ready is one batch of work; see the package comment for the order in which it
-// is carried out. Slices belong to the caller until Advance and are read-only.
+// Ready is one batch of work; see the package comment for the order in which the
+// caller processes it. The caller may use the slices until Advance but must not
+// modify them.
 type Ready struct {
-	// HardState is the newest value; save it whenever it differs from the last.
+	// HardState is the current value. It must be saved when HardStateChanged is
+	// set.
 	HardState HardState
-	// HardStateChanged says that HardState differs from the last Ready's.
+	// HardStateChanged reports whether HardState differs from the value in the
+	// previous Ready.
 	HardStateChanged bool
-	// Entries are to be saved. The first one's index may lie at or below the
-	// last saved index: then everything saved from there on is replaced.
+	// Entries must be saved. If the index of the first one is at or below the
+	// last saved index, they replace every saved entry from that index on.
 	Entries []Entry
-	// MustSync says that Entries, Term or Vote changed, so the save has to be
-	// durable before Messages go out. A moved Commit alone needs no fsync.
+	// MustSync reports that there are Entries to save or that Term or Vote
+	// changed, so the save must be durable before Messages are sent. A change of
+	// Commit alone needs no fsync.
 	MustSync bool
-	// Snapshot is to be saved and loaded in place of the state machine's state.
-	// Nil almost always.
+	// Snapshot must be saved and then loaded, replacing the current state of the
+	// state machine. It is nil in most batches.
 	Snapshot *Snapshot
-	// Early are messages that may be sent before the save, and so while it is
-	// under way. Empty unless Config.EarlySend is set.
+	// Early holds messages that may be sent before or during the save. It is
+	// empty unless Config.EarlySend is set.
 	Early []Message
-	// Messages are to be sent after the save. A lost message is harmless.
+	// Messages must be sent only after the save. A lost message is harmless.
 	Messages []Message
-	// Committed entries are to be applied in order. They include membership
-	// and no-op entries, which a state machine skips.
+	// Committed holds entries to apply in order. They include membership and
+	// no-op entries, which a state machine skips.
 	Committed []Entry
-	// Reads are answers to ReadIndex.
+	// Reads holds the results of ReadIndex calls.
 	Reads []ReadState
-	// Role and Leader hold at the time of the batch; Leader is zero if unknown.
+	// Role and Leader are the values at the time of the batch; Leader is zero if
+	// unknown. LeaderChanged reports whether the role, the leader or the term
+	// differs from the previous Ready.
 	Role          Role
 	Leader        MemberID
 	LeaderChanged bool
 }
 
-// Progress is what the leader knows of one member.
+// Progress is the leader's view of the replication to one member.
 type Progress struct {
 	ID              MemberID
 	Addr            string
 	Voter           bool
-	Match           uint64 // highest index known to be durable there
-	Lag             uint64 // entries behind the leader's last
-	Active          bool   // has answered within the last election timeout
-	SendingSnapshot bool   // is being sent a snapshot
+	Match           uint64 // highest index known to be durable on the member
+	Lag             uint64 // number of entries behind the leader's last entry
+	Active          bool   // the member has responded within the last ElectionTicks
+	SendingSnapshot bool   // the leader is sending a snapshot to the member
 }
 
-// Status is a picture of one member for operators and metrics.
+// Status describes the state of one member for operators and metrics.
 type Status struct {
 	ID            MemberID
 	Role          Role
@@ -186,10 +196,10 @@
 	First         uint64 // first index still in the log
 	Last          uint64
 	SnapshotIndex uint64
-	LogBytes      uint64 // data bytes of the entries in memory
+	LogBytes      uint64 // size of the entries in memory: their data plus a fixed overhead each
 	PendingReads  int
 	Transferee    MemberID
-	Membership    Membership // newest in the log, committed or not
+	Membership    Membership // the latest in the log, committed or not
 	ChangePending bool
-	Members       []Progress // on the leader only, sorted by ID
+	Members       []Progress // set on the leader only, sorted by ID
 }
