--- a/core/consensus/bench_test.go
+++ b/core/consensus/bench_test.go
@@ -5,7 +5,7 @@
 	"testing"
 )
 
-// benchGroup gives members 1..voters of one group, member 1 leading.
+// benchGroup returns the members 1..voters of one group, with member 1 as leader.
 func benchGroup(b *testing.B, voters int) []*Node {
 	var m Membership
 	for i := 1; i <= voters; i++ {
@@ -30,7 +30,8 @@
 	return nodes
 }
 
-// exchange carries out all work of all members, with nothing to wait for.
+// exchange processes the Ready batches of all members and delivers their messages
+// immediately, until no work is left.
 func exchange(b *testing.B, nodes []*Node) {
 	for busy := true; busy; {
 		busy = false
@@ -50,8 +51,8 @@
 	}
 }
 
-// BenchmarkPropose: entries through all members of the pure machine, from
-// Propose to applied everywhere, without disk, codec or network.
+// BenchmarkPropose measures the throughput of entries from Propose until all members
+// have applied them, without disk, codec or network.
 func BenchmarkPropose(b *testing.B) {
 	for _, voters := range []int{3, 5} {
 		for _, batch := range []int{1, 64, 1024} {
--- a/core/consensus/input_test.go
+++ b/core/consensus/input_test.go
@@ -7,8 +7,9 @@
 	qt "github.com/frankban/quicktest"
 )
 
-// A peer that stops answering costs bounded memory: what waits is refused with
-// a reason, and no more appends than the window are sent ahead.
+// A peer that stops responding must cost only bounded memory: excess proposals and
+// reads are rejected with an error, and at most MaxInflight appends are sent without
+// an acknowledgement.
 func TestBounds(t *testing.T) {
 	c := qt.New(t)
 	n := leaderOf(t, threeVoters())
@@ -27,8 +28,8 @@
 	c.Assert(n.ReadIndex(9), qt.Equals, ErrBusy)
 }
 
-// A caller compacts by the size of the log. What is kept for lagging peers must
-// not hold the log above that size, or each batch would bring a snapshot.
+// A caller compacts once the log exceeds a size. The entries kept for lagging peers
+// must not keep the log above that size, or every batch would cause a snapshot.
 func TestKeptEntriesAreBounded(t *testing.T) {
 	c := qt.New(t)
 	r, _ := Bootstrap(Membership{Voters: []Member{{1, "a"}}}, nil)
@@ -47,8 +48,8 @@
 	c.Assert(n.Status().LogBytes, qt.Equals, uint64(3*(300+entryOverhead)))
 }
 
-// A message that contradicts itself is dropped with an error and changes
-// nothing; one addressed to the member that had this address before, too.
+// An inconsistent message, or one addressed to another member, such as the previous
+// member at this address, is dropped with an error and changes nothing.
 func TestBadMessages(t *testing.T) {
 	entry := func(i, term uint64, ty EntryType) []Entry { return []Entry{{Index: i, Term: term, Type: ty}} }
 	good := Membership{Voters: []Member{{1, "a"}}}
@@ -57,19 +58,19 @@
 		m    Message
 		want error
 	}{
-		{"another member's", Message{Type: MsgVote, From: 2, To: 9, Term: 9}, ErrWrongMember},
+		{"addressed to another member", Message{Type: MsgVote, From: 2, To: 9, Term: 9}, ErrWrongMember},
 		{"no type", Message{From: 2, To: 1, Term: 9}, ErrMalformed},
-		{"from nobody", Message{Type: MsgVote, To: 1, Term: 9}, ErrMalformed},
+		{"no sender", Message{Type: MsgVote, To: 1, Term: 9}, ErrMalformed},
 		{"from itself", Message{Type: MsgVote, From: 1, To: 1, Term: 9}, ErrMalformed},
 		{"no term", Message{Type: MsgVote, From: 2, To: 1}, ErrMalformed},
-		{"log past its term", Message{Type: MsgVote, From: 2, To: 1, Term: 9, LogTerm: 10}, ErrMalformed},
+		{"log term above term", Message{Type: MsgVote, From: 2, To: 1, Term: 9, LogTerm: 10}, ErrMalformed},
 		{"gap in entries", Message{Type: MsgAppend, From: 2, To: 1, Term: 9, Index: 1, LogTerm: 1, Entries: entry(3, 9, EntryCommand)}, ErrMalformed},
-		{"entry past its term", Message{Type: MsgAppend, From: 2, To: 1, Term: 9, Index: 1, LogTerm: 1, Entries: entry(2, 10, EntryCommand)}, ErrMalformed},
-		{"entry of no type", Message{Type: MsgAppend, From: 2, To: 1, Term: 9, Index: 1, LogTerm: 1, Entries: entry(2, 9, 0)}, ErrMalformed},
-		{"membership unreadable", Message{Type: MsgAppend, From: 2, To: 1, Term: 9, Index: 1, LogTerm: 1, Entries: entry(2, 9, EntryMembership)}, ErrMalformed},
+		{"entry term above term", Message{Type: MsgAppend, From: 2, To: 1, Term: 9, Index: 1, LogTerm: 1, Entries: entry(2, 10, EntryCommand)}, ErrMalformed},
+		{"entry without type", Message{Type: MsgAppend, From: 2, To: 1, Term: 9, Index: 1, LogTerm: 1, Entries: entry(2, 9, 0)}, ErrMalformed},
+		{"invalid membership", Message{Type: MsgAppend, From: 2, To: 1, Term: 9, Index: 1, LogTerm: 1, Entries: entry(2, 9, EntryMembership)}, ErrMalformed},
 		{"entries in a vote", Message{Type: MsgVote, From: 2, To: 1, Term: 9, Entries: entry(1, 9, EntryCommand)}, ErrMalformed},
 		{"snapshot without chunk", Message{Type: MsgSnapshot, From: 2, To: 1, Term: 9, Index: 5, LogTerm: 5}, ErrMalformed},
-		{"chunk past its total", Message{Type: MsgSnapshot, From: 2, To: 1, Term: 9, Index: 5, LogTerm: 5, Chunk: &SnapshotChunk{Membership: good, Total: 1, Data: make([]byte, 2)}}, ErrMalformed},
+		{"chunk exceeds total size", Message{Type: MsgSnapshot, From: 2, To: 1, Term: 9, Index: 5, LogTerm: 5, Chunk: &SnapshotChunk{Membership: good, Total: 1, Data: make([]byte, 2)}}, ErrMalformed},
 		{"snapshot too large", Message{Type: MsgSnapshot, From: 2, To: 1, Term: 9, Index: 5, LogTerm: 5, Chunk: &SnapshotChunk{Membership: good, Total: 1 << 40}}, ErrMalformed},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
@@ -82,14 +83,14 @@
 	}
 }
 
-// State that no run could have saved is refused at the start: a member that
-// lost acknowledged entries must not vote.
+// Inconsistent restored state must be rejected at the start: a member that has lost
+// acknowledged entries must not vote.
 func TestBadRestored(t *testing.T) {
 	first, _ := Bootstrap(threeVoters(), nil)
 	for name, change := range map[string]func(*Restored){
 		"commit past the log": func(r *Restored) { r.HardState.Commit = 2 },
 		"gap":                 func(r *Restored) { r.Entries = []Entry{{Index: 3, Term: 1, Type: EntryNoop}} },
-		"term falls":          func(r *Restored) { r.Snapshot.Term = 4; r.Entries = []Entry{{Index: 2, Term: 3, Type: EntryNoop}} },
+		"term decreases":      func(r *Restored) { r.Snapshot.Term = 4; r.Entries = []Entry{{Index: 2, Term: 3, Type: EntryNoop}} },
 		"membership":          func(r *Restored) { r.Entries = []Entry{{Index: 2, Term: 1, Type: EntryMembership}} },
 	} {
 		t.Run(name, func(t *testing.T) {
@@ -101,8 +102,8 @@
 	}
 }
 
-// Whatever bytes a peer sends, decoding is bounded and Step neither panics nor
-// takes a commit back.
+// Whatever bytes a peer sends, decoding and Step must not panic, and the commit index
+// must not decrease.
 func FuzzMessage(f *testing.F) {
 	for _, m := range []Message{
 		{Type: MsgAppend, From: 2, To: 1, Term: 2, Index: 1, LogTerm: 1, Commit: 2, Entries: []Entry{{Index: 2, Term: 2, Type: EntryCommand, Data: []byte("x")}}},
@@ -124,7 +125,7 @@
 			_ = n.Step(m)
 			drain(n)
 			if n.log.commit < before {
-				t.Fatalf("commit fell from %d to %d", before, n.log.commit)
+				t.Fatalf("commit index decreased from %d to %d", before, n.log.commit)
 			}
 		}
 	})
--- a/core/consensus/node_test.go
+++ b/core/consensus/node_test.go
@@ -24,7 +24,7 @@
 	return n
 }
 
-// drain carries out all Ready batches and gives what was sent.
+// drain processes all Ready batches. It returns the batches and their Messages.
 func drain(n *Node) (sent []Message, rds []Ready) {
 	for n.HasReady() {
 		rd := n.Ready()
@@ -34,7 +34,7 @@
 	return sent, rds
 }
 
-// elect makes n (ID 1) the leader with the help of member 2.
+// elect makes n, which is member 1, the leader by the vote of member 2.
 func elect(t testing.TB, n *Node) {
 	for range 2 * n.cfg.ElectionTicks {
 		if n.role == RoleFollower {
@@ -73,15 +73,16 @@
 	return n
 }
 
+// ackLast acknowledges n's whole log on behalf of member from.
 func ackLast(t testing.TB, n *Node, from MemberID) {
 	drain(n)
 	step(t, n, Message{Type: MsgAppendAck, From: from, Term: n.term, Index: n.log.last()})
 	drain(n)
 }
 
-// A voter that restarts within a term must answer a second candidate as it
-// would have without the restart: its vote comes back from disk. Otherwise two
-// candidates win one term, and callers see two leaders answer differently.
+// A voter that has granted its vote and restarts must reject a second candidate in
+// the same term, because its vote is restored from disk. Otherwise two candidates
+// could win the same term, and callers would get different answers from two leaders.
 func TestVoteOutlivesRestart(t *testing.T) {
 	c := qt.New(t)
 	r, _ := Bootstrap(threeVoters(), nil)
@@ -98,9 +99,9 @@
 	c.Assert(sent[0].Reject, qt.IsTrue)
 }
 
-// A leader must not count an entry of an earlier term as committed by its
-// copies alone: a leader elected later may still overwrite it, and an applied
-// command would vanish. It is committed along with the first of its own term.
+// A leader must not commit an entry of an earlier term only because a majority
+// holds it: a later leader may still overwrite it, and an applied command would be
+// lost. It is committed together with the first entry of the leader's own term.
 func TestEarlierTermCommitsOnlyWithOwn(t *testing.T) {
 	c := qt.New(t)
 	r, _ := Bootstrap(threeVoters(), nil)
@@ -114,8 +115,8 @@
 	c.Assert(n.log.commit, qt.Equals, uint64(3))
 }
 
-// The leader's own copy counts only once it is saved: a leader that crashes
-// after answering would otherwise come back without the entry.
+// The leader's own copy counts towards a majority only once it is saved. Otherwise
+// the leader could answer a caller, crash and restart without the entry.
 func TestOwnCopyCountsOnceSaved(t *testing.T) {
 	c := qt.New(t)
 	n := leaderOf(t, Membership{Voters: []Member{{1, "a"}, {2, "b"}}})
@@ -128,10 +129,10 @@
 	c.Assert(n.log.commit, qt.Equals, uint64(3))
 }
 
-// A group of one elects itself before its new term is on the disk. An append sent
-// now could meet, after a crash, another entry of the same index and term from
-// the same member; it has to wait for the save. Later appends need not, but
-// acknowledgements always do.
+// In a group with one voter, the voter becomes leader before its new term is saved.
+// If it sent an append now and crashed, it could lead in the same term again and
+// create a different entry with the same index and term. So the append must wait
+// for the save. Later appends need not wait, but acknowledgements always do.
 func TestEarlyOnlyInDurableTerm(t *testing.T) {
 	c := qt.New(t)
 	r, _ := Bootstrap(Membership{Voters: []Member{{1, "a"}}, Learners: []Member{{2, "b"}}}, nil)
@@ -153,8 +154,8 @@
 	c.Assert(rd.Messages, qt.HasLen, 1)
 }
 
-// Each refusal of a change, with what brings it about. A refused change leaves
-// the membership as it was.
+// Checks each reason for which a membership change is rejected. A rejected change
+// must leave the membership unchanged.
 func TestChangeRefusals(t *testing.T) {
 	learner := Change{Type: ChangeAddLearner, ID: 9, Addr: "z"}
 	add := func(t testing.TB, n *Node) {
@@ -169,11 +170,11 @@
 		want   error
 	}{
 		{"before the first commit of the term", nil, learner, ErrNotReady},
-		{"another change is open", func(t testing.TB, n *Node) { ackLast(t, n, 2); add(t, n) }, Change{Type: ChangeRemove, ID: 3}, ErrChangePending},
-		{"already there", func(t testing.TB, n *Node) { ackLast(t, n, 2) }, Change{Type: ChangeAddLearner, ID: 2}, ErrMemberExists},
-		{"nobody to remove", func(t testing.TB, n *Node) { ackLast(t, n, 2) }, Change{Type: ChangeRemove, ID: 8}, ErrUnknownMember},
-		{"no learner to promote", func(t testing.TB, n *Node) { ackLast(t, n, 2) }, Change{Type: ChangePromote, ID: 2}, ErrNotLearner},
-		{"learner is silent", func(t testing.TB, n *Node) {
+		{"another change is pending", func(t testing.TB, n *Node) { ackLast(t, n, 2); add(t, n) }, Change{Type: ChangeRemove, ID: 3}, ErrChangePending},
+		{"member exists", func(t testing.TB, n *Node) { ackLast(t, n, 2) }, Change{Type: ChangeAddLearner, ID: 2}, ErrMemberExists},
+		{"unknown member", func(t testing.TB, n *Node) { ackLast(t, n, 2) }, Change{Type: ChangeRemove, ID: 8}, ErrUnknownMember},
+		{"not a learner", func(t testing.TB, n *Node) { ackLast(t, n, 2) }, Change{Type: ChangePromote, ID: 2}, ErrNotLearner},
+		{"learner is inactive and lags", func(t testing.TB, n *Node) {
 			ackLast(t, n, 2)
 			add(t, n)
 			ackLast(t, n, 2)
@@ -182,14 +183,14 @@
 				ackLast(t, n, 2)
 			}
 		}, Change{Type: ChangePromote, ID: 9}, ErrNotCaughtUp},
-		{"rest is silent", func(t testing.TB, n *Node) {
+		{"other voter is inactive", func(t testing.TB, n *Node) {
 			ackLast(t, n, 2)
 			for range n.cfg.ElectionTicks {
 				n.Tick()
 				step(t, n, Message{Type: MsgHeartbeatAck, From: 2, Term: n.term})
 			}
 		}, Change{Type: ChangeRemove, ID: 2}, ErrWouldLoseQuorum},
-		{"handing over", func(t testing.TB, n *Node) { ackLast(t, n, 2); _ = n.TransferLeadership(3) }, learner, ErrTransferring},
+		{"leadership transfer in progress", func(t testing.TB, n *Node) { ackLast(t, n, 2); _ = n.TransferLeadership(3) }, learner, ErrTransferring},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			c := qt.New(t)
@@ -204,8 +205,8 @@
 	}
 }
 
-// Copies on learners make no majority: an entry that only they hold is lost
-// with the leader.
+// Copies on learners don't count towards a majority: an entry that only the leader
+// and learners hold would be lost with the leader.
 func TestLearnersDoNotCommit(t *testing.T) {
 	c := qt.New(t)
 	m := threeVoters()
@@ -218,9 +219,9 @@
 	c.Assert(n.log.commit, qt.Equals, uint64(2))
 }
 
-// A read is answered only after a majority has confirmed the leader since the
-// read came in: an old answer, a learner's or none won't do. When the office
-// ends first, the caller is told that the read is lost.
+// A read completes only after a majority of voters has confirmed the leader since
+// the read was requested. Acknowledgements of an earlier round and those of learners
+// don't count. If leadership ends first, the read is reported as lost.
 func TestReadWaitsForMajority(t *testing.T) {
 	c := qt.New(t)
 	m := threeVoters()
@@ -234,7 +235,7 @@
 		return out
 	}
 	c.Assert(n.ReadIndex(7), qt.IsNil)
-	c.Assert(reads(), qt.HasLen, 0, qt.Commentf("before the first commit of the term"))
+	c.Assert(reads(), qt.HasLen, 0, qt.Commentf("read completed before the first commit of the term"))
 	ackLast(t, n, 2)
 	step(t, n, Message{Type: MsgHeartbeatAck, From: 2, Term: n.term, Round: 0})
 	step(t, n, Message{Type: MsgHeartbeatAck, From: 4, Term: n.term, Round: 1})
@@ -248,8 +249,8 @@
 	c.Assert(reads(), qt.DeepEquals, []ReadState{{Ctx: 8, Lost: true}})
 }
 
-// follower gives member 1 with entries 2..last of term 2 from leader 2, saved
-// and none of them committed.
+// follower returns member 1 as a follower of member 2, with entries 2..last of term
+// 2 saved and not committed.
 func follower(t testing.TB, last uint64) *Node {
 	r, _ := Bootstrap(threeVoters(), nil)
 	n := newNode(t, r)
@@ -262,9 +263,9 @@
 	return n
 }
 
-// A member that comes back with a later term asks for votes while the leader is
-// alive: no voter that hears the leader may help, or callers see an election
-// for nothing.
+// A member that returns with a later term requests votes while the leader is alive.
+// A voter that hears from the leader must ignore the request, or callers would see a
+// needless election. Only a forced vote request passes.
 func TestLeaseShieldsLeader(t *testing.T) {
 	c := qt.New(t)
 	n := follower(t, 2)
@@ -276,8 +277,8 @@
 	c.Assert(n.term, qt.Equals, uint64(9))
 }
 
-// A membership that was never committed is overwritten with its entry; a member
-// that still counted by it would need the wrong majority.
+// When an uncommitted membership entry is overwritten, the previous membership must
+// take effect again. Otherwise the member would count majorities by the wrong voters.
 func TestMembershipFallsBack(t *testing.T) {
 	c := qt.New(t)
 	n := follower(t, 2)
@@ -288,8 +289,8 @@
 	c.Assert(n.members(), qt.DeepEquals, threeVoters())
 }
 
-// A snapshot that the log already covers must not drop the entries after it:
-// they were acknowledged, and the leader counts them.
+// A snapshot whose last entry the log already holds must not drop the entries after
+// it: they were acknowledged, and the leader counts them.
 func TestSnapshotKeepsAcknowledged(t *testing.T) {
 	c := qt.New(t)
 	n := follower(t, 5)
@@ -300,8 +301,9 @@
 	c.Assert(rds[0].Snapshot, qt.IsNil)
 }
 
-// Half of a snapshot comes from a leader that dies, the rest from the next one,
-// which may have encoded the same state in other bytes: a mixture is neither.
+// A leader fails after sending half of a snapshot, and the next leader continues. It
+// may have encoded the same state differently, so a mixture of their chunks would be
+// corrupt and the transfer must start again.
 func TestSnapshotOfOneLeaderOnly(t *testing.T) {
 	c := qt.New(t)
 	n := newNode(t, Restored{})
@@ -312,15 +314,16 @@
 	chunk(3, 3, 2, "bb")
 	sent, rds := drain(n)
 	c.Assert(rds[len(rds)-1].Snapshot, qt.IsNil)
-	c.Assert(sent[len(sent)-1].Hint, qt.Equals, uint64(0), qt.Commentf("asks from the start"))
+	c.Assert(sent[len(sent)-1].Hint, qt.Equals, uint64(0), qt.Commentf("must request the snapshot from offset 0"))
 	chunk(3, 3, 0, "bb")
 	chunk(3, 3, 2, "bb")
 	_, rds = drain(n)
 	c.Assert(string(rds[0].Snapshot.Data), qt.Equals, "bbbb")
 }
 
-// While a save is under way, a new leader overwrites what is being saved. Once
-// it is done, only what still agrees is durable; the rest must be saved again.
+// A new leader overwrites entries while they are being saved. After the save, only
+// the entries that are still in the log count as durable; the others must be saved
+// again.
 func TestOverwrittenDuringSave(t *testing.T) {
 	c := qt.New(t)
 	n := follower(t, 2)
@@ -332,8 +335,9 @@
 	c.Assert(n.Ready().Entries, qt.DeepEquals, []Entry{{Index: 4, Term: 3, Type: EntryNoop}})
 }
 
-// An append tells a commit past its entries. What this member holds there may
-// be an old leader's, so only what the append proves is committed.
+// An append carries a commit index beyond its own entries. This member's entries
+// beyond them may come from an earlier leader, so it must commit only up to the last
+// index at which the append shows that the logs match.
 func TestCommitOnlyWhatAppendProves(t *testing.T) {
 	c := qt.New(t)
 	n := follower(t, 5)
@@ -341,8 +345,9 @@
 	c.Assert(n.log.commit, qt.Equals, uint64(2))
 }
 
-// The last append before a quiet hour is lost: the answer to a heartbeat shows
-// it, and the leader looks for where the logs agree.
+// The last append before a period without proposals is lost. The leader must notice
+// this at the next heartbeat acknowledgement and send an empty append, which shows
+// where the logs match.
 func TestLostAppendIsFound(t *testing.T) {
 	c := qt.New(t)
 	n := leaderOf(t, threeVoters())
@@ -354,8 +359,8 @@
 	c.Assert(sent, qt.DeepEquals, []Message{{Type: MsgAppend, From: 1, To: 2, Term: n.term, Index: 3, LogTerm: n.term, Commit: 2}})
 }
 
-// A voter that lags is handed the office only once it has the whole log;
-// otherwise it stands, loses, and the group has nobody meanwhile.
+// Leadership is transferred to a lagging voter only once it has the whole log.
+// Otherwise it would campaign and lose, and the group would have no leader meanwhile.
 func TestTransferWaitsForLog(t *testing.T) {
 	c := qt.New(t)
 	n := leaderOf(t, threeVoters())
@@ -370,23 +375,24 @@
 	c.Assert(sent[0].Type, qt.Equals, MsgTimeoutNow)
 }
 
-// A leader that an operator removes serves until the removal is committed, then
-// ends its office and names an heir; it must not lead a group it isn't in.
+// A leader that an operator removes must continue until its removal is committed,
+// then step down and tell another voter to start an election. It must not lead a
+// group that it is no longer a member of.
 func TestRemovedLeaderStepsDown(t *testing.T) {
 	c := qt.New(t)
 	n := leaderOf(t, threeVoters())
 	ackLast(t, n, 2)
 	c.Assert(n.ProposeChange(Change{Type: ChangeRemove, ID: 1}), qt.IsNil)
 	ackLast(t, n, 2)
-	c.Assert(n.role, qt.Equals, RoleLeader, qt.Commentf("one of two others isn't a majority of them"))
+	c.Assert(n.role, qt.Equals, RoleLeader, qt.Commentf("one of the two remaining voters is not a majority"))
 	step(t, n, Message{Type: MsgAppendAck, From: 3, Term: n.term, Index: n.log.last()})
 	sent, _ := drain(n)
 	c.Assert(n.role, qt.Equals, RoleFollower)
 	c.Assert(sent[len(sent)-1].Type, qt.Equals, MsgTimeoutNow)
 }
 
-// A crash between the save of entries and that of the hard state leaves a log
-// of a later term. The member must not stand in a term below its own log's.
+// A crash after entries were saved but before the hard state was saved leaves a log
+// with a later term. The member must not campaign in a term below that of its log.
 func TestTermOfSavedEntries(t *testing.T) {
 	c := qt.New(t)
 	r, _ := Bootstrap(threeVoters(), nil)
--- a/core/consensus/proof_test.go
+++ b/core/consensus/proof_test.go
@@ -28,14 +28,14 @@
 const (
 	faultSeeds  = 400
 	faultTicks  = 2000
-	faultShards = 4 // run at the same time
+	faultShards = 4 // subtests that run in parallel
 )
 
-// What callers see: writes and reads that a member answered are linearizable,
-// and once faults end the group works again with equal state everywhere.
-// Meanwhile messages are lost, doubled, reordered and cut one way, members
-// crash with saves half done and restart, and an operator changes membership.
-// The invariants are checked at each batch that any member hands out.
+// Checks that completed reads and writes are linearizable, and that after the
+// faults end the group recovers with the same state on all members. During the
+// run, messages are lost, duplicated, reordered and blocked in one or both
+// directions, members crash during a save and restart, and an operator changes the
+// membership. The invariants are checked for each batch that a member returns.
 func TestGroupUnderFaults(t *testing.T) {
 	for part := range uint64(faultShards) {
 		t.Run(fmt.Sprint("part", part), func(t *testing.T) {
@@ -65,7 +65,7 @@
 	return s
 }
 
-// The same seed must bring the same run, or a seed that shows a fault is no use.
+// The same seed must give the same run, so that a failing seed can be reproduced.
 func TestRunsRepeat(t *testing.T) {
 	c := qt.New(t)
 	a, b := runWithFaults(t, 4), runWithFaults(t, 4)
@@ -73,26 +73,27 @@
 	c.Assert(len(a.invariants.digests) > 50, qt.IsTrue)
 }
 
-// An operator sees a leader that can't reach the majority say so within one
-// election timeout, however long the partition lasts, while the others go on.
-// The cut is silent and may be one-way. When it ends, the member that was away
-// must not make the healthy leader step down: its term has not moved meanwhile.
+// A leader that is cut off from the majority must step down within the longest
+// election timeout and reject calls for as long as the partition lasts, while the
+// others elect a leader and continue. The partition drops messages without an error,
+// in one or both directions. When it ends, the returning member must not make the
+// healthy leader step down, so its term must not have risen above the leader's.
 func TestLongSilentPartition(t *testing.T) {
 	const hour = 36000 // ticks of 100 ms
 	for _, tc := range []struct {
-		name            string
-		inbound, outbnd bool
+		name              string
+		inbound, outbound bool
 	}{{"both ways", true, true}, {"inbound only", true, false}, {"outbound only", false, true}} {
 		t.Run(tc.name, func(t *testing.T) {
 			c := qt.New(t)
 			s := newSim(t, 5, faultFreeOptions(3))
-			s.runUntil("a leader", 200, func() bool { return s.leader() != nil && s.leader().node.log.commit > 1 })
+			s.runUntil("a leader is elected", 200, func() bool { return s.leader() != nil && s.leader().node.log.commit > 1 })
 			old := s.leader()
 			for _, o := range s.order {
-				s.blockedLinks[link{o, old.id}], s.blockedLinks[link{old.id, o}] = tc.inbound, tc.outbnd
+				s.blockedLinks[link{o, old.id}], s.blockedLinks[link{old.id, o}] = tc.inbound, tc.outbound
 			}
 			s.runUntil("the old leader steps down", 2*s.opt.electionTicks, func() bool { return old.node.role != RoleLeader })
-			s.runUntil("the others elect", 100, func() bool { return s.leader() != nil })
+			s.runUntil("the others elect a leader", 100, func() bool { return s.leader() != nil })
 			c.Assert(s.leader().id, qt.Not(qt.Equals), old.id)
 			var refused *NotLeaderError
 			c.Assert(errors.As(old.node.Propose([]byte("x")), &refused), qt.IsTrue)
@@ -101,19 +102,19 @@
 				c.Assert(s.leader().node.Propose([]byte("x")), qt.IsNil)
 				s.run(100)
 			}
-			led := s.leader()
-			term := led.node.term
+			current := s.leader()
+			term := current.node.term
 			c.Assert(len(s.invariants.leaders), qt.Equals, 2, qt.Commentf("elections during the hour"))
 			c.Assert(old.node.term <= term, qt.IsTrue)
 			s.healAndConverge()
-			c.Assert(led.node.role, qt.Equals, RoleLeader)
-			c.Assert(led.node.term, qt.Equals, term)
+			c.Assert(current.node.role, qt.Equals, RoleLeader)
+			c.Assert(current.node.term, qt.Equals, term)
 		})
 	}
 }
 
-// All members lose power at once, in the middle of writes. What was answered
-// must be there after the restart, with no operator's help.
+// All members crash at the same time, in the middle of writes. After the restart
+// the group must recover without an operator and still have all committed writes.
 func TestAllKilledTogether(t *testing.T) {
 	for seed := uint64(1); seed <= 50; seed++ {
 		s := newSim(t, seed, faultFreeOptions(3))
@@ -133,13 +134,13 @@
 	}
 }
 
-// A member loses its disk, is removed, and a new member takes its place. Right
-// after the promotion a second member is lost for good. The promotion counted
-// only once a majority held it, so the two that are left go on.
+// A member loses its disk, is removed, and a new member replaces it. Immediately
+// after the promotion of the new member, a second member is lost permanently. The
+// promotion had been committed by a majority, so the remaining two members continue.
 func TestSecondLossAfterRepair(t *testing.T) {
 	c := qt.New(t)
 	s := newSim(t, 9, faultFreeOptions(3))
-	s.runUntil("a leader", 200, func() bool { return s.leader() != nil && s.leader().node.log.commit > 1 })
+	s.runUntil("a leader is elected", 200, func() bool { return s.leader() != nil && s.leader().node.log.commit > 1 })
 	lead := s.leader()
 	lost := MemberID(1 + lead.id%3)
 	second := MemberID(1 + lost%3)
@@ -150,7 +151,7 @@
 	s.crash(s.hosts[lost])
 	s.order = slices.DeleteFunc(s.order, func(id MemberID) bool { return id == lost })
 	change := func(ch Change) {
-		s.runUntil("a change is taken", 300, func() bool { return lead.node.ProposeChange(ch) == nil })
+		s.runUntil("the change is accepted", 300, func() bool { return lead.node.ProposeChange(ch) == nil })
 		s.runUntil("the change commits", 300, func() bool { return !lead.node.changePending() })
 	}
 	change(Change{Type: ChangeRemove, ID: lost})
@@ -160,36 +161,36 @@
 	s.crash(s.hosts[second])
 	at := lead.node.log.commit
 	c.Assert(lead.node.Propose([]byte("x")), qt.IsNil)
-	s.runUntil("two of three commit", 300, func() bool { return lead.node.log.commit > at && s.hosts[7].node.log.commit > at })
+	s.runUntil("two of three voters commit", 300, func() bool { return lead.node.log.commit > at && s.hosts[7].node.log.commit > at })
 	s.run(2 * s.opt.electionTicks)
 	c.Assert(lead.node.ProposeChange(Change{Type: ChangeRemove, ID: 7}), qt.Equals, ErrWouldLoseQuorum)
 }
 
-// An operator removes a member that is up. It must learn of it and keep quiet,
-// also if it lags at first; a removed member that asks for votes for ever looks
-// like a fault of the group.
+// An operator removes a running member. It must learn of its removal and start no
+// more elections; a removed member that keeps requesting votes looks like a fault
+// of the group.
 func TestRemovedMemberKnows(t *testing.T) {
 	c := qt.New(t)
 	s := newSim(t, 3, faultFreeOptions(3))
-	s.runUntil("a leader", 200, func() bool { return s.leader() != nil && s.leader().node.log.commit > 1 })
+	s.runUntil("a leader is elected", 200, func() bool { return s.leader() != nil && s.leader().node.log.commit > 1 })
 	lead := s.leader()
-	gone := s.hosts[1+lead.id%3]
-	c.Assert(lead.node.ProposeChange(Change{Type: ChangeRemove, ID: gone.id}), qt.IsNil)
-	s.runUntil("it knows", 50, func() bool { return !gone.node.members().IsVoter(gone.id) && !gone.node.changePending() })
+	removed := s.hosts[1+lead.id%3]
+	c.Assert(lead.node.ProposeChange(Change{Type: ChangeRemove, ID: removed.id}), qt.IsNil)
+	s.runUntil("the removed member learns of its removal", 50, func() bool { return !removed.node.members().IsVoter(removed.id) && !removed.node.changePending() })
 	s.run(10 * s.opt.electionTicks)
-	c.Assert(gone.node.role, qt.Equals, RoleFollower)
+	c.Assert(removed.node.role, qt.Equals, RoleFollower)
 	c.Assert(lead.node.lead.peers, qt.HasLen, 1)
 }
 
-// A member restarts after hundreds of changes have gone by. While the leader
-// still has the entries it is sent those, else a snapshot and the rest; either
-// way it ends with the state of the others.
+// A member restarts after it has missed hundreds of entries. The leader sends these
+// entries if it still has them, otherwise a snapshot and the entries after it. In
+// both cases the member must reach the same state as the others.
 func TestCatchUpAfterRestart(t *testing.T) {
 	for _, compact := range []bool{false, true} {
 		t.Run(fmt.Sprintf("compacted=%t", compact), func(t *testing.T) {
 			c := qt.New(t)
 			s := newSim(t, 8, faultFreeOptions(3))
-			s.runUntil("a leader", 200, func() bool { return s.leader() != nil && s.leader().node.log.commit > 1 })
+			s.runUntil("a leader is elected", 200, func() bool { return s.leader() != nil && s.leader().node.log.commit > 1 })
 			lead := s.leader()
 			away := s.hosts[1+lead.id%3]
 			s.crash(away)
--- a/core/consensus/sim_test.go
+++ b/core/consensus/sim_test.go
@@ -7,31 +7,32 @@
 	"testing"
 )
 
-// simOptions are the faults of one run, as probabilities per tick or message.
+// simOptions configures one simulation run. Faults are given as probabilities per
+// tick or per message.
 type simOptions struct {
 	voters                            int
 	loss, duplicate, crash, partition float64
-	delay, saveDelay                  int // most ticks in transit, and for a save
+	delay, saveDelay                  int // maximum ticks in transit, and for a save
 	changes, compact, transfers       float64
-	maxCalls                          int // client calls in all
-	electionTicks, batch, window      int
+	maxCalls                          int // no call starts once this many are in the history
+	electionTicks, batch, window      int // Config's ElectionTicks, MaxBatchBytes and MaxInflight
 	early                             bool
 }
 
 type link struct{ from, to MemberID }
 
-// host is one member's process and disk.
+// host is the process and the disk of one member.
 type host struct {
 	id           MemberID
 	disk         Restored
-	node         *Node // nil while down
-	rd           *Ready
-	saveDoneTick int
+	node         *Node  // nil while down
+	rd           *Ready // batch being saved, nil if none
+	saveDoneTick int    // tick at which that save is done
 	app          *registers
 }
 
-// sim drives members over a faulty network in virtual time. All randomness
-// comes from the seed.
+// sim simulates a group of members on an unreliable network in virtual time. All
+// randomness is derived from the seed.
 type sim struct {
 	t            testing.TB
 	name         string
@@ -39,8 +40,8 @@
 	opt          simOptions
 	now          int
 	hosts        map[MemberID]*host
-	order        []MemberID
-	inTransit    map[int][]Message
+	order        []MemberID        // keys of hosts in order of addition, so that runs repeat
+	inTransit    map[int][]Message // by tick of delivery
 	blockedLinks map[link]bool
 	invariants   invariants
 	calls        *clientCalls
@@ -92,7 +93,8 @@
 	h.app.index = h.disk.Snapshot.Index
 }
 
-// crash loses all that wasn't saved; the save under way may be done in part.
+// crash stops a member, which loses all unsaved state. The entries of a save in
+// progress may have been written in part, without the hard state.
 func (s *sim) crash(h *host) {
 	if h.node == nil {
 		return
@@ -125,7 +127,8 @@
 	r.HardState.Commit = max(r.HardState.Commit, sn.Index)
 }
 
-// work carries out Ready batches in the order that the package comment asks for.
+// processReady processes Ready batches in the order that the package comment
+// requires. It returns while a save is in progress.
 func (s *sim) processReady(h *host) {
 	for h.node != nil {
 		if h.rd == nil {
@@ -146,6 +149,7 @@
 	}
 }
 
+// finishReady completes the save of a batch and carries out the steps after it.
 func (s *sim) finishReady(h *host) {
 	rd := h.rd
 	if rd.Snapshot != nil {
@@ -209,7 +213,8 @@
 	}
 }
 
-// tick moves virtual time by one tick; clocks run at slightly unequal rates.
+// tick advances virtual time by one tick. Each member's clock misses one tick in
+// 20 at random, so that the clocks run at slightly different rates.
 func (s *sim) tick() {
 	s.now++
 	s.deliver()
@@ -228,7 +233,7 @@
 	}
 }
 
-// isolate cuts id from all others; inbound alone when oneWay.
+// isolate blocks all messages to id and, unless oneWay is set, all messages from id.
 func (s *sim) isolate(id MemberID, oneWay bool) {
 	for _, o := range s.order {
 		s.blockedLinks[link{o, id}] = true
@@ -236,6 +241,7 @@
 	}
 }
 
+// heal unblocks all links and restarts all crashed members.
 func (s *sim) heal() {
 	s.blockedLinks = map[link]bool{}
 	for _, id := range s.order {
@@ -245,7 +251,7 @@
 	}
 }
 
-// leader gives the leader of the highest term that runs, nil if none.
+// leader returns the running leader with the highest term, or nil if there is none.
 func (s *sim) leader() *host {
 	var best *host
 	for _, id := range s.order {
@@ -257,6 +263,8 @@
 	return best
 }
 
+// runUntil advances time until done returns true, and fails the test if that takes
+// more than the given ticks.
 func (s *sim) runUntil(what string, ticks int, done func() bool) {
 	s.t.Helper()
 	for range ticks {
@@ -268,7 +276,7 @@
 	s.fatalf("not within %d ticks: %s", ticks, what)
 }
 
-// faults brings about the faults of one tick.
+// injectFaults injects the random faults of one tick.
 func (s *sim) injectFaults() {
 	for _, id := range s.order {
 		h := s.hosts[id]
@@ -294,8 +302,8 @@
 	}
 }
 
-// operate is an operator who changes membership and moves the leader about.
-// The leader's refusals are part of the run.
+// randomOperatorAction simulates an operator who transfers leadership and changes
+// the membership. The leader may reject either, which is part of the run.
 func (s *sim) randomOperatorAction(h *host) {
 	m := h.node.members()
 	if s.rng.Float64() < s.opt.transfers {
@@ -318,8 +326,8 @@
 	}
 }
 
-// settle ends all faults and demands that the group works again: one leader,
-// a new command applied by every member, and the same state everywhere.
+// healAndConverge ends all faults and requires that the group recovers: a leader
+// accepts a command, and all members apply the whole log and reach the same state.
 func (s *sim) healAndConverge() {
 	s.t.Helper()
 	s.heal()
--- a/core/consensus/truth_test.go
+++ b/core/consensus/truth_test.go
@@ -10,7 +10,7 @@
 
 const simKeys = 3
 
-// command is one write of the register service.
+// command writes one register.
 type command struct {
 	Call  uint64
 	Key   int
@@ -22,8 +22,8 @@
 	return b
 }
 
-// registers is the replicated state: a few registers and a digest of all that
-// was ever applied, in order.
+// registers is the replicated state machine: simKeys registers, and a digest of all
+// entries applied so far, in order.
 type registers struct {
 	Values [simKeys]int
 	Digest uint64
@@ -34,7 +34,7 @@
 
 func (r *registers) encode() []byte {
 	b, _ := Encode(r)
-	return append(b, make([]byte, 300)...) // so that it takes several chunks
+	return append(b, make([]byte, 300)...) // padding, so that a snapshot takes several chunks
 }
 
 func decodeRegisters(b []byte) *registers {
@@ -59,14 +59,15 @@
 	}
 }
 
-// truth is what the whole group has done so far, seen from outside.
+// invariants records what all members of the group have done so far, and checks
+// each new batch against it.
 type invariants struct {
 	leaders map[uint64]MemberID      // by term
-	entries map[[2]uint64][2]uint64  // (index, term) → (digest, term of the entry before)
-	commits map[uint64][2]uint64     // index → (term of the entry, term it was committed in)
+	entries map[[2]uint64][2]uint64  // (index, term) → (digest, term of the preceding entry)
+	commits map[uint64][2]uint64     // index → (term of the entry, term of the first member to apply it)
 	digests map[uint64]uint64        // state digest after index
-	voters  map[[2]uint64]Membership // (index, term) of a membership entry
-	highest uint64
+	voters  map[[2]uint64]Membership // unused
+	highest uint64                   // highest committed index
 }
 
 func newInvariants() invariants {
@@ -81,12 +82,12 @@
 		t.checkEntry(s, h, e)
 	}
 	if h.node.log.commit < h.disk.HardState.Commit {
-		s.fatalf("member %d: commit fell to %d", h.id, h.node.log.commit)
+		s.fatalf("member %d: commit index decreased to %d", h.id, h.node.log.commit)
 	}
 }
 
-// checkLeader proves: one leader a term, and each leader holds all that was
-// committed in earlier terms.
+// checkLeader checks that each term has at most one leader, and that a leader has
+// all entries that were committed in earlier terms.
 func (t *invariants) checkLeader(s *sim, h *host) {
 	n := h.node
 	if first, ok := t.leaders[n.term]; ok {
@@ -104,15 +105,16 @@
 	}
 }
 
-// checkEntry proves log matching: an index and term name one entry and one
-// entry before it; and that memberships change by one voter at a time.
+// checkEntry checks the log matching property: an index and term identify one entry
+// and the term of its predecessor. It also checks that a membership entry adds or
+// removes at most one voter.
 func (t *invariants) checkEntry(s *sim, h *host, e Entry) {
 	prior, _ := h.node.log.term(e.Index - 1)
 	key := [2]uint64{e.Index, e.Term}
 	val := [2]uint64{entryDigest(0, e), prior}
 	if old, ok := t.entries[key]; ok {
 		if old != val {
-			s.fatalf("two entries at index %d term %d", e.Index, e.Term)
+			s.fatalf("two different entries at index %d, term %d", e.Index, e.Term)
 		}
 		return
 	}
@@ -133,11 +135,12 @@
 		}
 	}
 	if changed > 1 {
-		s.fatalf("majorities needn't overlap: %v then %v", before.Voters, after.Voters)
+		s.fatalf("majorities of voters %v and of voters %v need not overlap", before.Voters, after.Voters)
 	}
 }
 
-// checkCommitted proves that applied entries are never lost, reordered or replaced.
+// checkCommitted checks that committed entries are applied in order without gaps,
+// and that all members apply the same entry at an index.
 func (t *invariants) checkCommitted(s *sim, h *host, e Entry, term uint64) {
 	if e.Index != h.app.index+1 {
 		s.fatalf("member %d applies %d after %d", h.id, e.Index, h.app.index)
@@ -152,23 +155,24 @@
 	t.highest = max(t.highest, e.Index)
 }
 
+// checkDigest checks that all members have the same state at the same index.
 func (t *invariants) checkDigest(s *sim, h *host) {
 	if d, ok := t.digests[h.app.index]; ok && d != h.app.Digest {
-		s.fatalf("member %d: state at %d differs from another's", h.id, h.app.index)
+		s.fatalf("member %d: state at index %d differs from that of another member", h.id, h.app.index)
 	}
 	t.digests[h.app.index] = h.app.Digest
 }
 
-// call is one client call under way.
+// call is one client call in progress.
 type call struct {
 	op         porcupine.Operation
 	host       MemberID
 	key        int
-	index      uint64 // a read waits until this index is applied
-	indexKnown bool
+	index      uint64 // a read completes once this index is applied
+	indexKnown bool   // the ReadState of a read has been received, so index is set
 }
 
-// callers make calls of a register service and keep the history.
+// clientCalls makes client calls to the registers and records their history.
 type clientCalls struct {
 	next    uint64
 	waiting map[uint64]*call
@@ -181,7 +185,8 @@
 	value int
 }
 
-// start makes one call to a member that believes that it leads.
+// start makes one call to a member that considers itself the leader, unless four
+// calls are in progress.
 func (c *clientCalls) start(s *sim) {
 	var able []*host
 	for _, id := range s.order {
@@ -213,7 +218,8 @@
 	delete(c.waiting, id)
 }
 
-// giveUp ends a call with an unknown outcome: a write may still take effect.
+// abandon ends a call with an unknown outcome. A write stays in the history as
+// one that never returned, because it may still take effect.
 func (c *clientCalls) abandon(id uint64) {
 	if k := c.waiting[id]; k.op.Input.(input).write {
 		k.op.Output, k.op.Return = 0, math.MaxInt64
