--- a/node/relay/coldstart.go
+++ b/node/relay/coldstart.go
@@ -2,26 +2,27 @@
 
 import "time"
 
-// chill notes that a target stays cold until a time. What is known already is not shortened.
-func (t *Target) chill(till time.Time) {
+// markColdUntil marks the target as cold until the given time. It never shortens an earlier
+// mark.
+func (t *Target) markColdUntil(until time.Time) {
 	for {
-		known := t.coldTill.Load()
-		if known >= till.UnixNano() || t.coldTill.CompareAndSwap(known, till.UnixNano()) {
+		current := t.coldUntil.Load()
+		if current >= until.UnixNano() || t.coldUntil.CompareAndSwap(current, until.UnixNano()) {
 			return
 		}
 	}
 }
 
-// cold tells whether a target is cold, or has to be taken for cold because its availability
-// zone was just taken back after an evacuation: it may have been restarted meanwhile, and its
-// next announcement is up to a second away.
-func (r *Relay) cold(t *Target, now time.Time) bool {
-	if now.UnixNano() < t.coldTill.Load() {
+// isCold reports whether a target is cold, or must be treated as cold because the evacuation of
+// its availability zone has just ended: the target may have been restarted during the
+// evacuation, and its next announcement is up to a second away.
+func (r *Relay) isCold(t *Target, now time.Time) bool {
+	if now.UnixNano() < t.coldUntil.Load() {
 		return true
 	}
-	back := t.takenBack.Load()
-	if back == 0 {
+	ended := t.evacuationEnded.Load()
+	if ended == 0 {
 		return false
 	}
-	return now.UnixNano() < back+r.service(t.Service).ColdFor.Nanoseconds()
+	return now.UnixNano() < ended+r.service(t.Service).ColdFor.Nanoseconds()
 }
--- a/node/relay/coldstart_test.go
+++ b/node/relay/coldstart_test.go
@@ -16,8 +16,9 @@
 	qt "github.com/frankban/quicktest"
 )
 
-// coldTargets makes the service's targets bear so many requests a second while they are cold.
-func (s *stage) coldTargets(rate float64, lasts time.Duration) {
+// setColdRate configures how many requests per second the service's targets take while cold,
+// and for how long they are cold.
+func (s *fixture) setColdRate(rate float64, lasts time.Duration) {
 	config := s.live.Load().Config
 	config.Services[0].ColdRate, config.Services[0].ColdFor = rate, lasts
 	table, err := routeconf.Compile(config)
@@ -25,24 +26,24 @@
 	s.live.Store(table)
 }
 
-// becomesCold lets a target announce that it is cold.
-func (s *stage) becomesCold(r directory.Record, lasts time.Duration) {
+// announceCold applies an announcement that the target is cold.
+func (s *fixture) announceCold(r directory.Record, lasts time.Duration) {
 	r.Sequence++
 	r.Cold = lasts
 	s.targets.Update([]directory.Record{r})
 }
 
-// TestColdZoneGetsWhatItBears guards against a zone that comes back cold beside a burst, and
-// against a target that becomes cold again while it runs: what it bears goes there, the rest
-// to targets that are warm.
+// TestColdZoneGetsWhatItBears guards against overloading the targets of a zone that returns
+// cold during a burst, or a target that becomes cold again while running. The cold target gets
+// only as many requests as configured; the others go to warm targets.
 func TestColdZoneGetsWhatItBears(t *testing.T) {
-	s := newStage(t, routeconf.Route{Kind: routeconf.KindOnce, MaxTargets: 1}, noMoves)
-	const bears, burst = 5, 60
-	s.coldTargets(bears, time.Hour)
+	s := newFixture(t, routeconf.Route{Kind: routeconf.KindOnce, MaxTargets: 1}, noCopies)
+	const coldRate, burst = 5, 60
+	s.setColdRate(coldRate, time.Hour)
 	var cold, warm atomic.Int64
 	own := s.target("cold", "z", func(http.ResponseWriter, *http.Request) { cold.Add(1) })
 	s.target("warm", "far", func(http.ResponseWriter, *http.Request) { warm.Add(1) })
-	s.becomesCold(own, time.Hour)
+	s.announceCold(own, time.Hour)
 	var all sync.WaitGroup
 	for range burst {
 		all.Go(func() {
@@ -52,76 +53,76 @@
 		})
 	}
 	all.Wait()
-	s.c.Assert(cold.Load() <= bears, qt.IsTrue, qt.Commentf("%d", cold.Load()))
+	s.c.Assert(cold.Load() <= coldRate, qt.IsTrue, qt.Commentf("%d", cold.Load()))
 	s.c.Assert(cold.Load()+warm.Load(), qt.Equals, int64(burst))
 }
 
-// TestColdTargetGetsNothingWithoutALeader guards against entries that go on sending to cold
-// targets while nobody counts what they send together.
+// TestColdTargetGetsNothingWithoutALeader guards against relays that continue to send to cold
+// targets while the control group has no leader to count the total.
 func TestColdTargetGetsNothingWithoutALeader(t *testing.T) {
-	s := newStage(t, routeconf.Route{Kind: routeconf.KindOnce, MaxTargets: 1}, noMoves)
-	s.coldTargets(50, time.Hour)
+	s := newFixture(t, routeconf.Route{Kind: routeconf.KindOnce, MaxTargets: 1}, noCopies)
+	s.setColdRate(50, time.Hour)
 	own := s.target("cold", "z", func(http.ResponseWriter, *http.Request) { t.Error("a request reached the cold target") })
-	s.becomesCold(own, time.Hour)
+	s.announceCold(own, time.Hour)
 	r := New(Settings{Zone: "z"}, Ports{
-		Live: &s.live, Targets: s.targets, Dialect: plainDialect{}, Observer: quiet{},
-		Retries: NewRetries(enoughRetries, &scripted{err: errors.New("no leader")}),
+		Live: &s.live, Targets: s.targets, Dialect: plainDialect{}, Observer: nopObserver{},
+		Retries: NewRetries(enoughRetries, &scriptedGrantor{err: errors.New("no leader")}),
 	})
 	target := s.targets.Of(service)[0]
 	_, ok := r.permit(context.Background(), &Request{}, target)
 	s.c.Assert(ok, qt.IsFalse)
-	// A permit that was not used in time is taken anew.
+	// A permit that has expired is replaced by a new one, which is refused here.
 	old := &permit{target: target, grants: []Retry{{paid: paidPool}}}
 	x, outcome := r.send(context.Background(), &Request{}, old, Directive{}, "first")
 	s.c.Assert(x, qt.IsNil)
 	s.c.Assert(outcome, qt.Equals, outcomeHeldBack)
-	s.c.Assert(target.heldBack(time.Now()), qt.IsTrue)
+	s.c.Assert(target.isHeldBack(time.Now()), qt.IsTrue)
 }
 
-// What makes a target cold, and for how long.
+// TestCold checks what makes a target cold, and for how long.
 func TestCold(t *testing.T) {
 	const lasts = 10 * time.Second
 	record := directory.Record{Target: "t", Service: service, Address: "a:1", Zone: "z", Sequence: 1, State: directory.StateReady}
 	for _, tt := range []struct {
-		name string
-		do   func(s *stage)
-		cold bool
+		name   string
+		do     func(s *fixture)
+		isCold bool
 	}{
-		{"warm", func(*stage) {}, false},
-		{"announced cold", func(s *stage) { s.becomesCold(record, lasts) }, true},
-		{"announced warm after cold, which is over by itself", func(s *stage) {
-			s.becomesCold(record, lasts)
+		{"warm", func(*fixture) {}, false},
+		{"announced cold", func(s *fixture) { s.announceCold(record, lasts) }, true},
+		{"announced warm after cold, which does not shorten the time", func(s *fixture) {
+			s.announceCold(record, lasts)
 			s.targets.Update([]directory.Record{record})
 		}, true},
-		{"its zone is evacuated", func(s *stage) { s.targets.Evacuate(evacuated(1, "z")) }, false},
-		{"its zone is taken back", func(s *stage) {
+		{"its zone is evacuated", func(s *fixture) { s.targets.Evacuate(evacuated(1, "z")) }, false},
+		{"the evacuation of its zone has ended", func(s *fixture) {
 			s.targets.Evacuate(evacuated(1, "z"))
 			s.targets.Evacuate(evacuated(2))
 		}, true},
-		{"another zone is taken back", func(s *stage) {
+		{"the evacuation of another zone has ended", func(s *fixture) {
 			s.targets.Evacuate(evacuated(1, "y"))
 			s.targets.Evacuate(evacuated(2))
 		}, false},
 	} {
 		t.Run(tt.name, func(t *testing.T) {
-			s := newStage(t, routeconf.Route{Kind: routeconf.KindOnce, MaxTargets: 1}, noMoves)
-			s.coldTargets(1, lasts)
+			s := newFixture(t, routeconf.Route{Kind: routeconf.KindOnce, MaxTargets: 1}, noCopies)
+			s.setColdRate(1, lasts)
 			s.targets.Update([]directory.Record{record})
 			tt.do(s)
 			r := New(Settings{Zone: "z"}, Ports{Live: &s.live, Targets: s.targets})
 			target := s.targets.Of(service)[0]
 			now := time.Now()
-			s.c.Assert(r.cold(target, now), qt.Equals, tt.cold)
-			s.c.Assert(r.cold(target, now.Add(lasts)), qt.IsFalse)
+			s.c.Assert(r.isCold(target, now), qt.Equals, tt.isCold)
+			s.c.Assert(r.isCold(target, now.Add(lasts)), qt.IsFalse)
 		})
 	}
 }
 
-// The group is asked in the name of the target, with what the configuration says that it
-// bears.
+// TestColdStartIsAskedForByTarget checks that a grant for a cold target is requested with the
+// target's ID and the configured rate.
 func TestColdStartIsAskedForByTarget(t *testing.T) {
 	c := qt.New(t)
-	g := &scripted{answer: retrybudget.Answer{Granted: true}}
+	g := &scriptedGrantor{answer: retrybudget.Answer{Granted: true}}
 	_, v := NewRetries(someRetries, g).ForTarget(context.Background(), retrybudget.PurposeColdStart, "s", "t", 36)
 	c.Assert(v.OK, qt.IsTrue)
 	c.Assert(g.asks, qt.HasLen, 1)
--- a/node/relay/evacuation.go
+++ b/node/relay/evacuation.go
@@ -8,58 +8,60 @@
 	"almondseam.dev/core/state"
 )
 
-// errEvacuated reports a send that was held back because an operator has evacuated the
-// target's availability zone meanwhile.
+// errEvacuated reports a send that was skipped because an operator has evacuated the target's
+// availability zone since the target was selected.
 var errEvacuated = errors.New("the target's availability zone is evacuated")
 
-// retryOperator tells a caller when to ask again where only an operator can change that
-// there is no target: how long that takes is not known.
-const retryOperator = 5 * time.Second
+// operatorRetryAfter is the Retry-After value for requests that have no target until an
+// operator acts. How long that takes is unknown.
+const operatorRetryAfter = 5 * time.Second
 
-// evacuation is the list of evacuated availability zones in force at this entry.
+// evacuation is the list of evacuated availability zones that this relay applies.
 type evacuation struct {
 	index uint64
 	zones map[api.Zone]struct{}
 }
 
-// Evacuate takes the evacuated availability zones: their targets get nothing new from now
-// on. False tells that the list is no newer than the one in force; a member that lags must
-// not undo an order that this entry has seen.
+// Evacuate applies a list of evacuated availability zones: targets in these zones receive
+// no new requests from then on. It returns false, and changes nothing, if the list is not newer
+// than the one in force: a lagging control member must not revert an order that this relay has
+// already applied.
 func (t *Targets) Evacuate(e state.Evacuated) bool {
 	next := &evacuation{index: e.Index, zones: make(map[api.Zone]struct{}, len(e.Zones))}
 	for _, z := range e.Zones {
 		next.zones[z] = struct{}{}
 	}
 	for {
-		held := t.evacuation.Load()
-		if held != nil && held.index >= e.Index {
+		current := t.evacuation.Load()
+		if current != nil && current.index >= e.Index {
 			return false
 		}
-		if t.evacuation.CompareAndSwap(held, next) {
-			t.takeBack(held, next)
+		if t.evacuation.CompareAndSwap(current, next) {
+			t.recordEvacuationEnds(current, next)
 			return true
 		}
 	}
 }
 
-// takeBack notes the targets whose zones are no longer evacuated.
-func (t *Targets) takeBack(held, next *evacuation) {
-	if held == nil {
+// recordEvacuationEnds records the current time for all targets whose zone is evacuated in
+// current and no longer evacuated in next.
+func (t *Targets) recordEvacuationEnds(current, next *evacuation) {
+	if current == nil {
 		return
 	}
 	now := time.Now().UnixNano()
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	for _, target := range t.byID {
-		_, before := held.zones[target.Zone]
+		_, before := current.zones[target.Zone]
 		_, still := next.zones[target.Zone]
 		if before && !still {
-			target.takenBack.Store(now)
+			target.evacuationEnded.Store(now)
 		}
 	}
 }
 
-// evacuated tells whether the target's availability zone is evacuated.
+// evacuated reports whether the target's availability zone is evacuated.
 func (t *Target) evacuated() bool {
 	e := t.table.evacuation.Load()
 	if e == nil || len(e.zones) == 0 {
@@ -69,8 +71,8 @@
 	return ok
 }
 
-// allEvacuated tells whether all targets of a service that could be asked are in evacuated
-// zones.
+// allEvacuated reports whether the service has targets in evacuated zones, and all its other
+// targets are draining.
 func (t *Targets) allEvacuated(s api.ServiceID) bool {
 	found := false
 	for _, target := range t.Of(s) {
--- a/node/relay/evacuation_test.go
+++ b/node/relay/evacuation_test.go
@@ -18,15 +18,15 @@
 	return state.Evacuated{Index: index, Zones: zones}
 }
 
-// TestEvacuatedZoneGetsNothing guards against requests to the targets of a zone that an
-// operator has evacuated, and against a refusal that does not say when to come back.
+// TestEvacuatedZoneGetsNothing guards against sending requests to targets of an evacuated zone,
+// and against refusing them without a Retry-After value.
 func TestEvacuatedZoneGetsNothing(t *testing.T) {
 	for _, kind := range []routeconf.Kind{routeconf.KindIdempotent, routeconf.KindOnce, routeconf.KindStream} {
 		t.Run(kind.String(), func(t *testing.T) {
-			s := newStage(t, routeconf.Route{Kind: kind, MaxTargets: 2, Generates: kind == routeconf.KindStream}, noMoves)
+			s := newFixture(t, routeconf.Route{Kind: kind, MaxTargets: 2, Generates: kind == routeconf.KindStream}, noCopies)
 			answer := func(w http.ResponseWriter, _ *http.Request) {
 				if kind == routeconf.KindStream {
-					events(w, 1, 2)
+					writeEvents(w, 1, 2)
 				}
 			}
 			var here, there atomic.Int64
@@ -47,7 +47,7 @@
 			s.c.Assert(resp.StatusCode, qt.Equals, http.StatusServiceUnavailable)
 			s.c.Assert(body, qt.Equals, string(api.ReasonZoneEvacuated)+"\n")
 			s.c.Assert(resp.Header.Get("Retry-After"), qt.Equals, "5.00")
-			s.c.Assert(time.Since(began) < roomLeast, qt.IsTrue, qt.Commentf("refused at once"))
+			s.c.Assert(time.Since(began) < minRoomWait, qt.IsTrue, qt.Commentf("refused at once"))
 
 			s.targets.Evacuate(evacuated(9))
 			resp, _, err = s.ask("/a/x", "Most", "50")
@@ -57,8 +57,8 @@
 	}
 }
 
-// TestEvacuationListsOvertakeEachOther guards against a member that lags and gives an entry
-// an older list.
+// TestEvacuationListsOvertakeEachOther guards against an older list from a lagging control
+// member that replaces a newer one.
 func TestEvacuationListsOvertakeEachOther(t *testing.T) {
 	c := qt.New(t)
 	targets := NewTargets()
@@ -82,32 +82,32 @@
 	}
 }
 
-// TestStreamIsNotContinuedInAnEvacuatedZone guards against a stream that goes on from its
-// copy at an engine of a zone that was evacuated after the copy was begun.
+// TestStreamIsNotContinuedInAnEvacuatedZone guards against continuing a stream from its standby
+// copy in a zone that was evacuated after the copy was begun.
 func TestStreamIsNotContinuedInAnEvacuatedZone(t *testing.T) {
-	s := newStage(t, routeconf.Route{Kind: routeconf.KindStream, MaxTargets: 1}, noMoves)
+	s := newFixture(t, routeconf.Route{Kind: routeconf.KindStream, MaxTargets: 1}, noCopies)
 	asked := make(chan struct{}, 1)
 	s.target("copy", "far", func(w http.ResponseWriter, r *http.Request) {
 		asked <- struct{}{}
-		events(w, last(r)+1, 8)
+		writeEvents(w, lastEventNumber(r)+1, 8)
 	})
 	s.target("first", "z", func(w http.ResponseWriter, _ *http.Request) {
-		events(w, 1, 3)
+		writeEvents(w, 1, 3)
 		s.targets.Evacuate(evacuated(2, "far"))
 		panic(http.ErrAbortHandler)
 	})
 	_, body, err := s.ask("/a/x", "Most", "500")
 	s.c.Assert(err, qt.IsNotNil)
-	s.c.Assert(body, qt.Equals, wanted(1, 3))
+	s.c.Assert(body, qt.Equals, eventText(1, 3))
 	s.c.Assert(asked, qt.HasLen, 0)
 }
 
-// TestStartedSendIsHeldBack guards against a target chosen just before its zone was
-// evacuated, and sent to after that.
+// TestStartedSendIsHeldBack guards against sending to a target whose zone was evacuated after
+// the target had been selected.
 func TestStartedSendIsHeldBack(t *testing.T) {
-	s := newStage(t, routeconf.Route{Kind: routeconf.KindOnce, MaxTargets: 1}, noMoves)
+	s := newFixture(t, routeconf.Route{Kind: routeconf.KindOnce, MaxTargets: 1}, noCopies)
 	s.target("t", "z", func(http.ResponseWriter, *http.Request) { t.Error("a request reached the target") })
-	r := New(Settings{Zone: "z"}, Ports{Live: &s.live, Targets: s.targets, Dialect: plainDialect{}, Observer: quiet{}})
+	r := New(Settings{Zone: "z"}, Ports{Live: &s.live, Targets: s.targets, Dialect: plainDialect{}, Observer: nopObserver{}})
 	target := s.targets.Of(service)[0]
 	s.targets.Evacuate(evacuated(1, "z"))
 	x, outcome := r.send(context.Background(), &Request{}, &permit{target: target}, Directive{}, "first")
@@ -115,8 +115,8 @@
 	s.c.Assert(outcome, qt.Equals, outcomeNotSent)
 }
 
-// TestNothingLeavesItsHomes guards against a request that is served, retried, migrated or
-// copied to a region that its route or its customer does not allow.
+// TestNothingLeavesItsHomes guards against serving, retrying, migrating or copying a request in
+// a region that its route or customer does not allow.
 func TestNothingLeavesItsHomes(t *testing.T) {
 	north, south := routeconf.Homes{"north"}, routeconf.Homes{"south"}
 	for _, tt := range []struct {
@@ -125,16 +125,16 @@
 		served          []string
 	}{
 		{"no homes", nil, nil, []string{"n", "s"}},
-		{"the route's", north, nil, []string{"n"}},
-		{"the customer's", nil, south, []string{"s"}},
-		{"nothing in common", north, south, nil},
+		{"homes of the route", north, nil, []string{"n"}},
+		{"homes of the customer", nil, south, []string{"s"}},
+		{"homes without a common region", north, south, nil},
 	} {
 		t.Run(tt.name, func(t *testing.T) {
-			s := newStage(t, routeconf.Route{Kind: routeconf.KindOnce, MaxTargets: 1, Homes: tt.route}, noMoves)
+			s := newFixture(t, routeconf.Route{Kind: routeconf.KindOnce, MaxTargets: 1, Homes: tt.route}, noCopies)
 			s.target("n", "nz", func(http.ResponseWriter, *http.Request) {})
 			s.target("s", "sz", func(http.ResponseWriter, *http.Request) {})
 			s.target("nowhere", "unknown", func(http.ResponseWriter, *http.Request) {})
-			r := New(Settings{Regions: map[api.Zone]api.Region{"nz": "north", "sz": "south"}}, Ports{Live: &s.live, Targets: s.targets, Observer: quiet{}})
+			r := New(Settings{Regions: map[api.Zone]api.Region{"nz": "north", "sz": "south"}}, Ports{Live: &s.live, Targets: s.targets, Observer: nopObserver{}})
 			req := &Request{decision: decision{Service: service, Route: &s.live.Load().Config.Routes[0], Customer: &routeconf.Customer{Homes: tt.customer}}}
 			usable := map[string]bool{}
 			for i, c := range r.candidates(req, s.targets.Of(service), nil, time.Now()) {
@@ -144,7 +144,7 @@
 				s.c.Assert(usable[name], qt.Equals, slices.Contains(tt.served, name), qt.Commentf("%s", name))
 			}
 			s.c.Assert(usable["nowhere"], qt.Equals, tt.route == nil && tt.customer == nil)
-			reason, _ := r.whyNoTarget(req)
+			reason, _ := r.noTargetReason(req)
 			s.c.Assert(reason == api.ReasonOutsideHomes, qt.Equals, tt.served == nil)
 		})
 	}
--- a/node/relay/events.go
+++ b/node/relay/events.go
@@ -7,23 +7,23 @@
 	"io"
 )
 
-// event is one event of a stream with its bytes as the target wrote them.
+// event is one event of a stream, in the bytes that the target wrote.
 type event struct {
 	raw []byte
-	// id is the event's own, empty if it has none.
+	// id is the value of the event's id field, empty if it has none.
 	id []byte
 }
 
-// maxEvent bounds one event in bytes.
+// maxEvent is the maximum size of one event in bytes.
 const maxEvent = 1 << 20
 
-var errEventTooLarge = errors.New("an event of the stream is too large")
+var errEventTooLarge = errors.New("stream event is too large")
 
-// errBroken is a stream that ended in the middle of an event.
-var errBroken = errors.New("the stream ended within an event")
+// errTruncatedEvent reports a stream that ended in the middle of an event.
+var errTruncatedEvent = errors.New("stream ended in the middle of an event")
 
-// eventReader splits a stream into whole events. An event that is not
-// whole is never given out: the stream may be continued from it elsewhere.
+// eventReader splits a stream into complete events. It never returns an incomplete event,
+// because the stream may be continued from another target after the last event returned.
 type eventReader struct {
 	r   *bufio.Reader
 	buf []byte
@@ -33,8 +33,8 @@
 	return &eventReader{r: bufio.NewReaderSize(r, 4<<10)}
 }
 
-// next gives the next whole event; io.EOF at the end of the stream. The event is
-// valid until the next call.
+// next returns the next complete event, or io.EOF at the end of the stream. The event is valid
+// until the next call.
 func (e *eventReader) next() (event, error) {
 	e.buf = e.buf[:0]
 	ev := event{}
@@ -43,7 +43,7 @@
 		start := len(e.buf)
 		if err := e.line(); err != nil {
 			if errors.Is(err, io.EOF) && len(e.buf) > 0 {
-				return event{}, errBroken
+				return event{}, errTruncatedEvent
 			}
 			return event{}, err
 		}
@@ -60,7 +60,7 @@
 	}
 }
 
-// line appends one line with its end.
+// line appends the next line, with its line ending, to e.buf.
 func (e *eventReader) line() error {
 	for {
 		part, err := e.r.ReadSlice('\n')
--- a/node/relay/leg.go
+++ b/node/relay/leg.go
@@ -9,10 +9,11 @@
 	"almondseam.dev/node/upstream"
 )
 
-// leg is the part of a stream that one engine makes.
+// leg is the part of a stream that one engine serves.
 type leg struct {
 	target *Target
-	// standby is sent a copy of the run's memory as it grows; nil for none.
+	// standby is the engine that receives a copy of the run's KV cache as it grows, nil if
+	// there is none.
 	standby *Target
 	x       *upstream.Exchange
 	ctx     context.Context
@@ -20,30 +21,30 @@
 	// migration prepares the next leg; nil until the engine drains.
 	migration *migration
 
-	// sentAt and queued tell when the request was sent and how many tokens the engine
-	// then had to read, its own prompt among them.
-	sentAt time.Time
-	queued int
+	// sentAt is when the request was sent. queuedTokens is the number of prompt tokens that the
+	// engine then had to process, including the request's own.
+	sentAt       time.Time
+	queuedTokens int
 
 	mu     sync.Mutex
-	tokens int // counted at the target, and at the standby
-	unread int // counted at the target as not yet read
+	tokens int // KV cache tokens counted on the target, and on the standby if there is one
+	unread int // prompt tokens counted on the target as not yet processed
 	ended  bool
 }
 
-// begin sends the request to an engine by a permit. On anything but Answered the leg has
-// ended; it still tells where a copy of the run may be.
-func (s *streamRun) begin(ctx context.Context, p *permit, d Directive, why string) (*leg, string) {
+// startLeg sends the request to an engine under a permit. If the outcome is not Answered, the
+// returned leg has ended, and serves only to tell which engine may hold a copy of the run.
+func (s *streamRun) startLeg(ctx context.Context, p *permit, d Directive, why string) (*leg, string) {
 	t := p.target
 	l := &leg{target: t, standby: s.standbyFor(t), tokens: s.tokens(), unread: s.unread(d)}
 	if l.standby != nil {
 		d.CopyTo = l.standby.Address
-		l.standby.keep(l.tokens)
+		l.standby.addTokens(l.tokens)
 	} else {
-		t.expose(1, l.tokens)
+		t.addUnbacked(1, l.tokens)
 	}
-	t.hold(l.tokens, l.unread)
-	l.sentAt, l.queued = time.Now(), t.Load().Unread
+	t.addRequest(l.tokens, l.unread)
+	l.sentAt, l.queuedTokens = time.Now(), t.Load().Unread
 	l.ctx, l.cancel = context.WithCancel(ctx)
 	x, outcome := s.relay.send(l.ctx, s.req, p, d, why)
 	l.x = x
@@ -53,8 +54,8 @@
 	return l, outcome
 }
 
-// unread is the part of the prompt that an engine has to read: none of it where a
-// copy of the run is.
+// unread returns the number of prompt tokens that an engine has to process: none if it
+// continues from a copy of the run.
 func (s *streamRun) unread(d Directive) int {
 	if d.CopyFrom.ID != "" {
 		return 0
@@ -62,28 +63,30 @@
 	return s.req.Ask.PromptTokens
 }
 
-// begun notes that the engine has read the prompt. It gives how many tokens it had to
-// read for that and how long it took; no tokens if there is nothing to learn from it.
-func (l *leg) begun() (tokens int, took time.Duration) {
+// finishPrefill records that the engine has processed the prompt. It returns how many prompt
+// tokens the engine had to process when the request was sent, and the time since then. It
+// returns no tokens if the prompt was recorded before, or if the engine had none to process.
+func (l *leg) finishPrefill() (tokens int, took time.Duration) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if l.unread > 0 {
-		tokens, took = l.queued, time.Since(l.sentAt)
+		tokens, took = l.queuedTokens, time.Since(l.sentAt)
 	}
-	l.target.read(l.unread)
+	l.target.removeUnread(l.unread)
 	l.unread = 0
 	return tokens, took
 }
 
-// held is the memory that the leg counts at its engine.
-func (l *leg) held() int {
+// heldTokens returns the number of KV cache tokens that the leg counts on its engine.
+func (l *leg) heldTokens() int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.tokens
 }
 
-// grow counts what the stream has grown by, at its engine and at its standby.
-func (l *leg) grow(tokens int) {
+// updateTokens sets the number of KV cache tokens that the leg counts on its engine and on its
+// standby.
+func (l *leg) updateTokens(tokens int) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if l.ended {
@@ -91,16 +94,16 @@
 	}
 	by := tokens - l.tokens
 	l.tokens = tokens
-	l.target.keep(by)
+	l.target.addTokens(by)
 	if l.standby != nil {
-		l.standby.keep(by)
+		l.standby.addTokens(by)
 	} else {
-		l.target.expose(0, by)
+		l.target.addUnbacked(0, by)
 	}
 }
 
-// end gives up the exchange, so that the engine drops what is left of the work,
-// and takes back what the leg counted. It may be called more than once.
+// end cancels the exchange, so that the engine stops working on the request, and removes what
+// the leg counted on its targets. It may be called more than once.
 func (l *leg) end() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -112,14 +115,14 @@
 	if l.x != nil {
 		l.x.Close()
 	}
-	l.target.read(l.unread)
-	l.target.release(l.tokens)
+	l.target.removeUnread(l.unread)
+	l.target.removeRequest(l.tokens)
 	if l.standby != nil {
-		l.standby.keep(-l.tokens)
+		l.standby.addTokens(-l.tokens)
 	} else {
-		l.target.expose(-1, -l.tokens)
+		l.target.addUnbacked(-1, -l.tokens)
 	}
 }
 
-// isStream tells whether the engine answered with events.
+// isStream reports whether the engine answered with status 200, and so with an event stream.
 func (l *leg) isStream() bool { return l.x.Status == http.StatusOK }
--- a/node/relay/lengths.go
+++ b/node/relay/lengths.go
@@ -6,15 +6,15 @@
 	"almondseam.dev/core/api"
 )
 
-// lengthsKept is how many costs a ranking holds: enough for a rank to a few parts in
-// a hundred.
-const lengthsKept = 64
+// maxRecentCosts is the number of recent costs that are kept for each service, enough to rank a
+// cost to within a few percent.
+const maxRecentCosts = 64
 
-// lengths ranks what generations are likely to cost, by their callers' guesses of
-// their lengths, among those of late on each service. It is safe for concurrent use.
-type lengths struct {
-	mu   sync.Mutex
-	late map[api.ServiceID]*ring
+// costRanks ranks the expected cost of a generation among the recent generations of its
+// service. It is safe for concurrent use.
+type costRanks struct {
+	mu     sync.Mutex
+	recent map[api.ServiceID]*ring
 }
 
 type ring struct {
@@ -22,30 +22,33 @@
 	next   int
 }
 
-func newLengths() *lengths { return &lengths{late: make(map[api.ServiceID]*ring)} }
+func newCostRanks() *costRanks { return &costRanks{recent: make(map[api.ServiceID]*ring)} }
 
-// readWeight is how many tokens of a prompt an engine reads, beside running streams,
-// while it makes one: some seven a millisecond against one in twelve.
-const readWeight = 80
+// prefillPerOutputToken is the number of prompt tokens that an engine processes, besides running
+// streams, in the time in which it generates one token: about seven prompt tokens per
+// millisecond, against one generated token in twelve milliseconds.
+const prefillPerOutputToken = 80
 
-// cost is what a generation takes of an engine, in tokens of memory times the time
-// of one token.
+// cost returns the expected cost of a generation to an engine: the KV cache that it occupies,
+// in tokens, multiplied by its duration in units of the time of one generated token. The
+// duration follows from the caller's estimate of the output length.
 func cost(a *Ask, tokens int) int {
-	return tokens * (a.LikelyTokens + a.PromptTokens/readWeight)
+	return tokens * (a.LikelyTokens + a.PromptTokens/prefillPerOutputToken)
 }
 
-// rank takes a cost and gives its rank, 0 for the lowest to 1; without one, or others
-// to compare it with, the middle.
-func (l *lengths) rank(s api.ServiceID, cost int) float64 {
+// rank adds a cost to the recent ones of a service and returns its rank among them, from 0 for
+// the lowest to 1. It returns 0.5 if there is no recent cost to compare it with. A cost of zero
+// is unknown: it has rank 0.5 and is not added.
+func (l *costRanks) rank(s api.ServiceID, cost int) float64 {
 	if cost <= 0 {
 		return 0.5
 	}
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	r := l.late[s]
+	r := l.recent[s]
 	if r == nil {
 		r = &ring{}
-		l.late[s] = r
+		l.recent[s] = r
 	}
 	below := 0
 	for _, v := range r.values {
@@ -59,10 +62,10 @@
 }
 
 func (r *ring) put(v int) {
-	if len(r.values) < lengthsKept {
+	if len(r.values) < maxRecentCosts {
 		r.values = append(r.values, v)
 		return
 	}
 	r.values[r.next] = v
-	r.next = (r.next + 1) % lengthsKept
+	r.next = (r.next + 1) % maxRecentCosts
 }
--- a/node/relay/limit.go
+++ b/node/relay/limit.go
@@ -10,63 +10,70 @@
 	"github.com/sourcegraph/conc"
 )
 
-// LimitStater tells the control group what targets say of their limits. It is safe for
+// LimitStater reports the rate limits of targets to the control group. It is safe for
 // concurrent use.
 type LimitStater interface {
-	// StateLimit gives what the group goes by after the statement. It may be called again with
-	// the same one. After an error the group may have heard it or not.
+	// StateLimit reports a statement of a target and returns the limit that the control group
+	// applies afterwards. It may be called again with the same statement. After an error it is
+	// unknown whether the control group has received the statement.
 	StateLimit(ctx context.Context, l state.LimitStatement) (state.TargetLimit, error)
 }
 
 const (
-	// stateWithin bounds one try to tell the group.
-	stateWithin = 400 * time.Millisecond
-	// stateTries bounds the tries; the next answer of the target begins anew.
-	stateTries = 20
+	// reportTimeout bounds one attempt to report a limit.
+	reportTimeout = 400 * time.Millisecond
+	// maxReportAttempts bounds the attempts of one report; a later response of the target
+	// starts a new report.
+	maxReportAttempts = 20
 )
 
-// LimitReports tells the control group what targets say of their limits, so that entries know
-// them that have no answer yet. It is safe for concurrent use.
+// LimitReports reports the rate limits of targets to the control group, so that relays which
+// have not had a response from a target know its limit too. It is safe for concurrent use.
 type LimitReports struct {
 	to   LimitStater
 	obs  Observer
 	work conc.WaitGroup
 }
 
-// NewLimitReports makes one; obs hears of statements that could not be made.
+// NewLimitReports returns a LimitReports that sends to the given control group. The observer is
+// notified of reports that failed, and of limits that changed because of the control group's
+// answer to a report.
 func NewLimitReports(to LimitStater, obs Observer) *LimitReports {
 	return &LimitReports{to: to, obs: obs}
 }
 
-// Wait returns once all statements have been made or given up. Nothing is heard any more.
+// Wait blocks until all reports have been delivered or given up. No response of a target may be
+// processed in the meantime.
 func (l *LimitReports) Wait() { l.work.Wait() }
 
-// state tells the group what this entry goes by for a target, in the background.
+// state reports the limit that this relay applies to a target to the control group, in the
+// background. It does nothing if a report for the target is already in progress.
 func (l *LimitReports) state(t *Target) {
-	if !t.stating.CompareAndSwap(false, true) {
+	if !t.reportingLimit.CompareAndSwap(false, true) {
 		return
 	}
 	l.work.Go(func() {
-		told, ok := l.tell(t)
-		t.stating.Store(false)
-		if ok && t.limit() != told {
-			l.state(t) // heard while the last try was under way
+		sent, ok := l.send(t)
+		t.reportingLimit.Store(false)
+		if ok && t.limit() != sent {
+			l.state(t) // the limit changed during the last attempt
 		}
 	})
 }
 
-// tell tries until the group has heard what this entry goes by then, and gives that; false if
-// it is given up.
-func (l *LimitReports) tell(t *Target) (told targetlimit.Limit, ok bool) {
+// send repeats the report until the control group has received it. Each attempt sends the limit
+// that this relay applies at that time. It returns the limit that was sent, and false if all
+// attempts failed.
+func (l *LimitReports) send(t *Target) (sent targetlimit.Limit, ok bool) {
 	var err error
-	for range stateTries {
+	for range maxReportAttempts {
 		b := t.view().Current
-		ctx, cancel := context.WithTimeout(context.Background(), stateWithin)
+		ctx, cancel := context.WithTimeout(context.Background(), reportTimeout)
 		var known state.TargetLimit
 		known, err = l.to.StateLimit(ctx, statement(t, b))
 		cancel()
 		if err == nil {
-			l.followGroup(t, known)
+			l.handleGroupLimit(t, known)
 			return b.Limit, true
 		}
 	}
@@ -74,8 +81,8 @@
 	return targetlimit.Limit{}, false
 }
 
-func (l *LimitReports) followGroup(t *Target, known state.TargetLimit) {
-	if before, after := t.told(known); before.Limit != after.Limit {
+func (l *LimitReports) handleGroupLimit(t *Target, known state.TargetLimit) {
+	if before, after := t.applyGroupLimit(known); before.Limit != after.Limit {
 		l.obs.LimitChanged(nil, t, before, after)
 	}
 }
@@ -84,52 +91,54 @@
 	return state.LimitStatement{Target: t.Target, Born: t.Born, Limited: b.Limited, Rate: b.Rate, Seen: b.Seen}
 }
 
-// view is what this entry knows of the target's limit.
+// view returns what this relay knows of the target's rate limit.
 func (t *Target) view() targetlimit.View {
-	if v := t.limited.Load(); v != nil {
+	if v := t.limitView.Load(); v != nil {
 		return *v
 	}
 	return targetlimit.View{}
 }
 
-// limit is what this entry goes by.
+// limit returns the rate limit that this relay applies to the target.
 func (t *Target) limit() targetlimit.Limit { return t.view().Current.Limit }
 
-// learn changes the view. It gives what this entry went by before, and goes by now.
-func (t *Target) learn(change func(targetlimit.View) targetlimit.View) (before, after targetlimit.Statement) {
+// updateView replaces the view atomically. It returns the limits that this relay applied before
+// and applies after the change.
+func (t *Target) updateView(change func(targetlimit.View) targetlimit.View) (before, after targetlimit.Statement) {
 	for {
-		held := t.limited.Load()
+		current := t.limitView.Load()
 		view := targetlimit.View{}
-		if held != nil {
-			view = *held
+		if current != nil {
+			view = *current
 		}
 		next := change(view)
-		if !t.limited.CompareAndSwap(held, &next) {
+		if !t.limitView.CompareAndSwap(current, &next) {
 			continue
 		}
 		before, after = view.Current, next.Current
 		if before.Stricter(after.Limit) {
-			t.heldBackTill.Store(0) // what the group refused was by the stricter limit
+			t.heldBackUntil.Store(0) // the refusal was based on the stricter limit
 		}
 		return before, after
 	}
 }
 
-// heard takes an answer of the target.
-func (t *Target) heard(s targetlimit.Statement) (before, after targetlimit.Statement) {
-	return t.learn(func(v targetlimit.View) targetlimit.View { return v.ApplyStatement(s) })
+// applyStatement updates the view by a response of the target.
+func (t *Target) applyStatement(s targetlimit.Statement) (before, after targetlimit.Statement) {
+	return t.updateView(func(v targetlimit.View) targetlimit.View { return v.ApplyStatement(s) })
 }
 
-// told takes what the group goes by.
-func (t *Target) told(known state.TargetLimit) (before, after targetlimit.Statement) {
+// applyGroupLimit updates the view by the limit that the control group applies.
+func (t *Target) applyGroupLimit(known state.TargetLimit) (before, after targetlimit.Statement) {
 	now := time.Now()
-	return t.learn(func(v targetlimit.View) targetlimit.View { return v.ApplyGroup(known.Known(), now) })
+	return t.updateView(func(v targetlimit.View) targetlimit.View { return v.ApplyGroup(known.Known(), now) })
 }
 
-// learnLimit takes what a target's answer says of its limit. An answer that can't be read
-// leaves the limit as it is, and one that states that the request was not run may come from
-// something before the target: it may name a limit, but not end one.
-func (r *Relay) learnLimit(req *Request, t *Target, reply Reply, began sendBegan) {
+// updateLimit updates the rate limit of a target by what its response says of it. If that
+// cannot be parsed, the limit stays as it is. A response which states that the request was not
+// run may come from an intermediary in front of the target, so it may set a limit but not
+// remove one.
+func (r *Relay) updateLimit(req *Request, t *Target, reply Reply, start sendStart) {
 	if reply.LimitErr != nil {
 		if t.limitUnreadable.CompareAndSwap(false, true) {
 			r.obs.LimitUnreadable(req, t, reply.LimitErr)
@@ -141,8 +150,8 @@
 		return
 	}
 	now := time.Now()
-	before, after := t.heard(targetlimit.Statement{
-		Limit: targetlimit.Limit{Limited: reply.Limited, Rate: reply.Limit}, Sent: began.at, Received: now, Seen: began.seen,
+	before, after := t.applyStatement(targetlimit.Statement{
+		Limit: targetlimit.Limit{Limited: reply.Limited, Rate: reply.Limit}, Sent: start.at, Received: now, Seen: start.seen,
 	})
 	changed := before.Limit != after.Limit
 	if changed {
@@ -153,29 +162,33 @@
 	}
 }
 
-// sendBegan is when a request was sent, and what was known of the group then: the index of its
-// target's limit.
-type sendBegan struct {
+// sendStart holds when a request was sent, and the log index of the target's limit that this
+// relay knew at that time.
+type sendStart struct {
 	at   time.Time
 	seen uint64
 }
 
-func (t *Target) sendBegins() sendBegan { return sendBegan{at: time.Now(), seen: t.view().Group.Index} }
+func (t *Target) newSendStart() sendStart {
+	return sendStart{at: time.Now(), seen: t.view().Group.Index}
+}
 
-// LimitChange is a limit that the group's list has changed at this entry.
+// LimitChange is a change of the limit that this relay applies to a target, caused by a list
+// from the control group.
 type LimitChange struct {
 	Target        *Target
 	Before, After targetlimit.Statement
 }
 
-// HearLimits takes the limits that targets have named to any entry. It gives the changes.
+// HearLimits applies the control group's list of the rate limits that targets have announced to
+// any relay. It returns the resulting changes.
 func (t *Targets) HearLimits(list state.TargetLimits) []LimitChange {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	if list.Index < t.limitsAt {
-		return nil // of a member that lags
+	if list.Index < t.limitsIndex {
+		return nil // the list is from a lagging control member
 	}
-	t.limitsAt, t.limits = list.Index, make(map[api.TargetID]state.TargetLimit, len(list.List))
+	t.limitsIndex, t.limits = list.Index, make(map[api.TargetID]state.TargetLimit, len(list.List))
 	var out []LimitChange
 	for _, l := range list.List {
 		t.limits[l.Target] = l
@@ -183,17 +196,17 @@
 		if target == nil || target.Born != l.Born {
 			continue
 		}
-		if before, after := target.told(l); before.Limit != after.Limit {
+		if before, after := target.applyGroupLimit(l); before.Limit != after.Limit {
 			out = append(out, LimitChange{Target: target, Before: before, After: after})
 		}
 	}
 	return out
 }
 
-// remember gives a target that is announced after its limit what the group said of it. The
-// lock is held.
-func (t *Targets) remember(target *Target) {
+// applyListedLimit applies the limit in the control group's latest list to a target that was
+// announced after the list arrived. The caller holds t.mu.
+func (t *Targets) applyListedLimit(target *Target) {
 	if l, ok := t.limits[target.Target]; ok && l.Born == target.Born {
-		target.told(l)
+		target.applyGroupLimit(l)
 	}
 }
--- a/node/relay/migrate.go
+++ b/node/relay/migrate.go
@@ -11,47 +11,50 @@
 	"almondseam.dev/core/retrybudget"
 )
 
-// migration prepares the next leg of a stream while its draining engine still works
-// on it. done is closed at its end; the fields are read after that.
+// migration prepares the next leg of a stream while its draining engine still works on the
+// current one. done is closed when the preparation ends; the other fields are read only after
+// that.
 type migration struct {
 	cancel context.CancelFunc
 	done   chan struct{}
-	// next is the leg that has begun already; nil if none has.
-	next *leg
-	// copy is the stopped run's memory, to be taken up at one of at, in order.
-	copy Copy
-	at   []*Target
-	how  string
-	// paid is the retry for the first of at, permit the right to ask it; nil once used.
-	paid   *Retry
+	// nextLeg is the next leg if it has been started already, else nil.
+	nextLeg *leg
+	// copy is the KV cache of the stopped run, from which the run may be continued at one of
+	// destinations, tried in order.
+	copy         Copy
+	destinations []*Target
+	how          string
+	// retry is the retry for the first destination, permit the right to send to it. Both are
+	// nil once used.
+	retry  *Retry
 	permit *permit
 }
 
-// How streams are continued, as observers are told.
+// How streams are continued, as reported to the observer.
 const (
 	howStandby   = "standby"   // from a standby copy
 	howMigration = "migration" // from a copy made on demand
-	howRestart   = "restart"   // run anew after the last event
+	howRestart   = "restart"   // run again, from the event after the last one
 )
 
-// Why a migration was skipped, as observers are told.
+// Why a migration was skipped, as reported to the observer.
 const (
-	skipNoRoom = "no_room" // no engine had room for the run
-	skipBudget = "budget"  // the retry budget was spent until the notice was over
+	skipNoRoom = "no_room" // no engine was found that accepted a copy of the run
+	skipBudget = "budget"  // the retry budget was exhausted until the drain notice ended
 	skipNoStop = "no_stop" // the run could not be stopped, or had ended
-	// skipHeldBack: others were granted all the requests that the engine bears.
+	// skipHeldBack: the control group refused the request to the destination.
 	skipHeldBack = "held_back"
 )
 
-// moveZoneWeight is what an engine in another zone counts more as the destination of a
-// run, in parts of its load: a move there takes twice the time.
-const moveZoneWeight = 1.2
+// remoteZoneWeight is added to the load of an engine in another zone when a destination is
+// selected, as a fraction of a full engine: a copy to another zone takes twice the time.
+const remoteZoneWeight = 1.2
 
-// maxMigrationTries bounds how many engines are asked to take one run: the notice is
-// short.
-const maxMigrationTries = 3
+// maxDestinations bounds how many engines are tried as destinations of one run, because the
+// drain notice is short.
+const maxDestinations = 3
 
-// startMigration starts one if the stream can be migrated.
+// startMigration starts a migration in the background if the stream can be migrated.
 func (s *streamRun) startMigration(l *leg) {
 	action := handoff.Next(s.situation(l, handoff.CauseDraining))
 	if action == handoff.ActionStay {
@@ -74,55 +77,56 @@
 	}
 }
 
-// migrateByStandby continues the run at the engine that keeps its standby copy.
+// migrateByStandby continues the run at the engine that holds its standby copy. It returns
+// false if that fails or the stream has ended.
 //
-// The run ends only once the next engine has taken it up: a copy may be missing,
-// for want of memory, and a run that was ended for it could not be continued. For
-// the few milliseconds between, both make the same events; numbers tell which the
-// caller has.
+// The current run is ended only after the next engine has accepted the request: the copy may be
+// missing for lack of memory, and then a run that was ended could not be continued. For a few
+// milliseconds both engines generate the same events; the event numbers tell which ones the
+// caller already has.
 func (s *streamRun) migrateByStandby(ctx context.Context, l *leg) bool {
 	p, ok := s.relay.permit(ctx, s.req, l.standby)
 	if !ok {
 		return false
 	}
-	if !s.mayResume(ctx, howStandby) {
-		s.relay.giveBack(p)
+	if !s.acquireResume(ctx, howStandby) {
+		s.relay.releasePermit(p)
 		return false
 	}
-	next, _ := s.begin(s.ctx, p, s.resumeFrom(Copy{Address: l.standby.Address, ID: string(s.req.Ask.Request)}), howStandby)
-	if next.x == nil {
+	nextLeg, _ := s.startLeg(s.ctx, p, s.resumeDirective(Copy{Address: l.standby.Address, ID: string(s.req.Ask.Request)}), howStandby)
+	if nextLeg.x == nil {
 		return false
 	}
 	if ctx.Err() != nil {
-		next.end() // the stream has ended meanwhile
+		nextLeg.end() // the stream has ended meanwhile
 		return false
 	}
-	l.migration.next, l.migration.how = next, howStandby
+	l.migration.nextLeg, l.migration.how = nextLeg, howStandby
 	l.cancel()
 	return true
 }
 
-// migrateByCopy copies the run to another engine while it continues, and then once
-// more with a stop, so that the pause covers only what was made in between.
+// migrateByCopy copies the run to another engine while it continues, and then copies the rest
+// while stopping it, so that the pause covers only what was generated between the two copies.
 func (s *streamRun) migrateByCopy(ctx context.Context, l *leg) {
-	if !s.waitForTurn(ctx, l) {
+	if !s.acquireMigrationSlot(ctx, l) {
 		return
 	}
-	defer func() { <-l.target.turn }()
-	s.skipped(ctx, l, s.tryDestinations(ctx, l))
+	defer func() { <-l.target.migrationSlot }()
+	s.reportSkipped(ctx, l, s.tryDestinations(ctx, l))
 }
 
-// tryDestinations moves the run to the first of a few engines that takes it. It gives why
-// that was skipped, empty if the run has been stopped.
+// tryDestinations migrates the run to the first destination that accepts it. It returns the
+// reason why the migration was skipped, or the empty string if the run has been stopped.
 func (s *streamRun) tryDestinations(ctx context.Context, l *leg) (why string) {
 	tried := []*Target{l.target}
-	for range maxMigrationTries {
+	for range maxDestinations {
 		to := s.destination(tried)
 		if to == nil || ctx.Err() != nil {
 			break
 		}
 		tried = append(tried, to)
-		why = s.moveTo(ctx, l, to)
+		why = s.migrateTo(ctx, l, to)
 		if why != skipNoRoom && why != skipHeldBack {
 			return why
 		}
@@ -130,86 +134,88 @@
 	return cmp.Or(why, skipNoRoom)
 }
 
-// skipped tells why a migration was skipped, unless the stream has ended.
-func (s *streamRun) skipped(ctx context.Context, l *leg, why string) {
+// reportSkipped reports to the observer why a migration was skipped, unless the stream has
+// ended.
+func (s *streamRun) reportSkipped(ctx context.Context, l *leg, why string) {
 	if why != "" && ctx.Err() == nil {
 		s.relay.obs.MigrationSkipped(s.req, l.target, why)
 	}
 }
 
-// moveTo moves the run to another engine. It gives why that was skipped, empty if the run
-// has been stopped; after skipNoRoom and skipHeldBack another engine may take it. A copy that
-// nobody takes up is dropped: the engine would keep its memory for seconds and refuse others.
-func (s *streamRun) moveTo(ctx context.Context, l *leg, to *Target) (why string) {
-	tokens := l.held()
-	to.keep(tokens)
-	defer to.keep(-tokens)
-	made, err := s.copyUntilQuick(ctx, l, to)
+// migrateTo migrates the run to the given engine. It returns the reason why the migration was
+// skipped, or the empty string if the run has been stopped. After skipNoRoom and skipHeldBack
+// another engine may be tried. A copy that is not used is dropped: the engine would otherwise
+// keep its memory for seconds and refuse other runs.
+func (s *streamRun) migrateTo(ctx context.Context, l *leg, to *Target) (why string) {
+	tokens := l.heldTokens()
+	to.addTokens(tokens)
+	defer to.addTokens(-tokens)
+	made, err := s.copyUntilFast(ctx, l, to)
 	if err != nil {
-		s.drop(l, to, made)
+		s.dropCopy(l, to, made)
 		return skipNoRoom
 	}
-	paid, ok := s.payMigration(ctx, l)
+	retry, ok := s.acquireMigrationRetry(ctx, l)
 	if !ok {
-		s.drop(l, to, made)
+		s.dropCopy(l, to, made)
 		return skipBudget
 	}
-	// Before the stop: a run that was stopped for an engine that may not be asked is lost.
+	// Take the permit before the stop: a run that was stopped for an engine to which no request
+	// may be sent is lost.
 	p, ok := s.relay.permit(ctx, s.req, to)
 	if !ok {
-		s.relay.retries.GiveBack(paid)
-		s.drop(l, to, made)
+		s.relay.retries.GiveBack(retry)
+		s.dropCopy(l, to, made)
 		return skipHeldBack
 	}
 	moved, err := s.copy(ctx, l, to, true)
 	if moved.ID == "" {
-		s.relay.retries.GiveBack(paid)
-		s.relay.giveBack(p)
-		s.drop(l, to, made)
+		s.relay.retries.GiveBack(retry)
+		s.relay.releasePermit(p)
+		s.dropCopy(l, to, made)
 		return skipNoStop
 	}
-	l.migration.copy, l.migration.how, l.migration.paid = moved, howMigration, &paid
-	l.migration.at, l.migration.permit = []*Target{to, l.target}, p
+	l.migration.copy, l.migration.how, l.migration.retry = moved, howMigration, &retry
+	l.migration.destinations, l.migration.permit = []*Target{to, l.target}, p
 	if err != nil {
-		// Without room at the other engine the run has stopped all the same, and the
-		// draining one still holds its memory.
-		s.relay.giveBack(p)
-		l.migration.at, l.migration.permit = []*Target{l.target}, nil
+		// If the other engine has no room, the run has been stopped all the same, and the
+		// draining engine still holds its KV cache.
+		s.relay.releasePermit(p)
+		l.migration.destinations, l.migration.permit = []*Target{l.target}, nil
 	}
 	return ""
 }
 
-// payMigration takes the retry for a move before the run is stopped, and waits for one
-// while its engine still works.
-//
-// Until it is stopped the run continues, and may be over before the notice is.
-func (s *streamRun) payMigration(ctx context.Context, l *leg) (paid Retry, ok bool) {
+// acquireMigrationRetry acquires the retry for a migration before the run is stopped. If the
+// budget is exhausted, it tries again until the drain notice ends. The run continues in the
+// meantime, and may complete before that.
+func (s *streamRun) acquireMigrationRetry(ctx context.Context, l *leg) (retry Retry, ok bool) {
 	for {
-		paid, ok = s.relay.retry(ctx, s.req, retrybudget.PurposeResume, howMigration)
+		retry, ok = s.relay.acquireRetry(ctx, s.req, retrybudget.PurposeResume, howMigration)
 		if ok {
-			return paid, true
+			return retry, true
 		}
-		pause(ctx, payEvery)
-		if ctx.Err() != nil || time.Now().After(l.target.noticeEnds()) {
-			return paid, false
+		sleep(ctx, retryAcquireInterval)
+		if ctx.Err() != nil || time.Now().After(l.target.noticeEnd()) {
+			return retry, false
 		}
 	}
 }
 
-// payEvery is the interval at which the retry budget is asked again.
-const payEvery = 100 * time.Millisecond
+// retryAcquireInterval is the interval at which an exhausted retry budget is tried again.
+const retryAcquireInterval = 100 * time.Millisecond
 
-// moveWithin bounds one copy of a run: a long run takes a fifth of a second on a
-// free link, and a notice is over in two.
-const moveWithin = 3 * time.Second
+// copyTimeout bounds one copy of a run. A long run takes a fifth of a second on an idle link,
+// and a drain notice lasts less than two seconds.
+const copyTimeout = 3 * time.Second
 
-// copy copies the run. It goes on when ctx ends: broken off, the copy would be kept at the
-// other engine under a name that is never learnt.
+// copy copies the run. It continues after ctx ends: the destination would keep an interrupted
+// copy under an ID that this relay never learns.
 func (s *streamRun) copy(ctx context.Context, l *leg, to *Target, stop bool) (Copy, error) {
 	if err := ctx.Err(); err != nil {
 		return Copy{}, err
 	}
-	ctx, cancel := context.WithTimeout(context.WithoutCancel(ctx), moveWithin)
+	ctx, cancel := context.WithTimeout(context.WithoutCancel(ctx), copyTimeout)
 	defer cancel()
 	began := time.Now()
 	moved, err := s.relay.engines.Move(ctx, l.target.Address, s.req.Ask.Request, to.Address, stop)
@@ -217,12 +223,13 @@
 	return moved, err
 }
 
-// drop frees a copy that is not taken up, at the engine that made it and the one that has it.
-func (s *streamRun) drop(l *leg, at *Target, c Copy) {
+// dropCopy frees a copy that is not used, at the engine that made it or, if that fails, at the
+// one that received it.
+func (s *streamRun) dropCopy(l *leg, at *Target, c Copy) {
 	if c.ID == "" {
 		return
 	}
-	ctx, cancel := context.WithTimeout(context.Background(), dropWithin)
+	ctx, cancel := context.WithTimeout(context.Background(), dropTimeout)
 	defer cancel()
 	err := s.relay.engines.Drop(ctx, l.target.Address, c.ID)
 	if err != nil {
@@ -231,19 +238,19 @@
 	s.relay.obs.Dropped(s.req, at, err)
 }
 
-// dropWithin bounds the calls that free a copy.
-const dropWithin = 500 * time.Millisecond
+// dropTimeout bounds the calls that free a copy.
+const dropTimeout = 500 * time.Millisecond
 
-// quickCopy is how quick a copy of a few tokens is on a free link: two exchanges
-// with the engine and some milliseconds of copying.
-const quickCopy = 40 * time.Millisecond
+// fastCopy is the longest time that a copy of a few tokens takes on an idle link: two round
+// trips to the engine and some milliseconds of copying.
+const fastCopy = 40 * time.Millisecond
 
-// copyUntilQuick copies the run while it continues, and again what is new, until
-// that is quick or the notice is nearly over. A slow copy of a few tokens tells
-// that runs of other entries are on the link; a run stopped now would wait for
-// them, and its caller with it.
-func (s *streamRun) copyUntilQuick(ctx context.Context, l *leg, to *Target) (made Copy, err error) {
-	until := l.target.noticeEnds()
+// copyUntilFast copies the run while it continues, and then repeatedly what was added since,
+// until a copy is fast or the drain notice is about to end. A slow copy of a few tokens means
+// that other relays are migrating runs over the link. If the run were stopped now, it would
+// wait for those copies, and so would the caller.
+func (s *streamRun) copyUntilFast(ctx context.Context, l *leg, to *Target) (made Copy, err error) {
+	until := l.target.noticeEnd()
 	for {
 		began := time.Now()
 		next, err := s.copy(ctx, l, to, false)
@@ -254,22 +261,22 @@
 		now := time.Now()
 		took := now.Sub(began)
 		// The next copy may take as long as this one.
-		if took < quickCopy || now.Add(took).After(until) {
+		if took < fastCopy || now.Add(took).After(until) {
 			return made, nil
 		}
 	}
 }
 
-// waitForTurn waits until the runs before this one have been moved from the
-// engine; false when ctx ends first.
+// acquireMigrationSlot waits until the runs ahead of this one have been migrated from the
+// engine. It returns false if ctx ends first.
 //
-// Copies of several runs would share the engine's link, and each run that was stopped would wait
-// for the long copies of the others. One after the other each caller sees the pause of its own
-// last tokens only. Among entries the order follows from what each of them last told of its
-// load.
-func (s *streamRun) waitForTurn(ctx context.Context, l *leg) bool {
+// Concurrent copies share the engine's link, and each stopped run would wait for the long
+// copies of the others. If they are made one at a time, each caller sees only the pause for the
+// last tokens of its own run. Each relay waits for the time that the relays ahead of it need,
+// as estimated from the loads that they last reported.
+func (s *streamRun) acquireMigrationSlot(ctx context.Context, l *leg) bool {
 	select {
-	case l.target.turn <- struct{}{}:
+	case l.target.migrationSlot <- struct{}{}:
 	case <-ctx.Done():
 		return false
 	}
@@ -277,42 +284,41 @@
 	if e == nil {
 		return true
 	}
-	left := time.Unix(0, l.target.drainingSince.Load())
+	drainStart := time.Unix(0, l.target.drainingSince.Load())
 	backlog := l.target.backlog()
 	ahead := handoff.MoveTime(backlog.Tokens, backlog.Runs, e.MoveRate())
-	t := time.NewTimer(time.Until(left.Add(min(ahead, handoff.Notice))))
+	t := time.NewTimer(time.Until(drainStart.Add(min(ahead, handoff.Notice))))
 	defer t.Stop()
 	select {
 	case <-t.C:
 		return true
 	case <-ctx.Done():
-		<-l.target.turn
+		<-l.target.migrationSlot
 		return false
 	}
 }
 
-// destination chooses the engine that a run is moved to, among all that have room.
-// Several entries move the runs of an engine in the same instant; sent to the one
-// that is emptiest, they would wait for each other on its link until the notice is
-// over.
-func (s *streamRun) destination(not []*Target) *Target {
+// destination selects the engine to which the run is migrated, at random among all engines that
+// have room. Several relays migrate runs of the same engine at the same time; if all chose the
+// least loaded destination, their copies would wait for each other on its link until the drain
+// notice ends.
+func (s *streamRun) destination(exclude []*Target) *Target {
 	list := s.relay.targets.Of(s.req.Service)
-	candidates := s.relay.copyCandidates(s.req, list, not, time.Now())
-	choice := placement.Pick(candidates, placement.Need{Zone: not[0].Zone, Tokens: s.tokens(), ZoneWeight: moveZoneWeight, Even: true}, rand.Float64)
+	candidates := s.relay.copyCandidates(s.req, list, exclude, time.Now())
+	choice := placement.Pick(candidates, placement.Need{Zone: exclude[0].Zone, Tokens: s.tokens(), ZoneWeight: remoteZoneWeight, Even: true}, rand.Float64)
 	if choice < 0 {
 		return nil
 	}
 	return list[choice]
 }
 
-// resumeFrom gives the directive for a request that continues from a copy.
-func (s *streamRun) resumeFrom(c Copy) Directive {
-	return Directive{CopyFrom: c, LastEvent: s.last()}
+// resumeDirective returns the directive for a request that continues from a copy.
+func (s *streamRun) resumeDirective(c Copy) Directive {
+	return Directive{CopyFrom: c, LastEvent: s.lastEvent()}
 }
 
-// migrated waits for the leg's migration and begins the next leg; nil if there is
-// none.
-func (s *streamRun) migrated(l *leg) *leg {
+// awaitMigration waits for the leg's migration and returns the next leg, nil if there is none.
+func (s *streamRun) awaitMigration(l *leg) *leg {
 	d := l.migration
 	if d == nil {
 		return nil
@@ -320,33 +326,34 @@
 	select {
 	case <-d.done:
 	case <-s.ctx.Done():
-		s.forget(l)
+		s.cancelMigration(l)
 		return nil
 	}
-	if d.next != nil {
-		s.relay.obs.Migrated(s.req, l.target, d.next.target, d.how, time.Since(s.pausedAt))
-		return d.next
+	if d.nextLeg != nil {
+		s.relay.obs.Migrated(s.req, l.target, d.nextLeg.target, d.how, time.Since(s.lastEventAt))
+		return d.nextLeg
 	}
-	for _, t := range d.at {
-		if !s.pay(d) {
+	for _, t := range d.destinations {
+		if !s.useRetry(d) {
 			break
 		}
-		p := s.permitFor(d, t)
+		p := s.takePermit(d, t)
 		if p == nil {
 			continue
 		}
-		next, _ := s.begin(s.ctx, p, s.resumeFrom(d.copy), d.how)
-		if next.x != nil {
-			s.relay.obs.Migrated(s.req, l.target, t, d.how, time.Since(s.pausedAt))
-			return next
+		nextLeg, _ := s.startLeg(s.ctx, p, s.resumeDirective(d.copy), d.how)
+		if nextLeg.x != nil {
+			s.relay.obs.Migrated(s.req, l.target, t, d.how, time.Since(s.lastEventAt))
+			return nextLeg
 		}
 	}
-	go s.dropStopped(l)
+	go s.dropStoppedCopy(l)
 	return nil
 }
 
-// permitFor uses the permit that was taken for a migration, or takes one; nil if there is none.
-func (s *streamRun) permitFor(d *migration, t *Target) *permit {
+// takePermit returns the permit acquired during the migration if it is for target t, else
+// acquires one. It returns nil if that fails.
+func (s *streamRun) takePermit(d *migration, t *Target) *permit {
 	p := d.permit
 	d.permit = nil
 	if p != nil && p.target == t {
@@ -359,36 +366,38 @@
 	return p
 }
 
-// dropStopped drops the copy of a run that was stopped and is not continued.
-func (s *streamRun) dropStopped(l *leg) {
+// dropStoppedCopy drops the copy of a run that was stopped and is not continued.
+func (s *streamRun) dropStoppedCopy(l *leg) {
 	if d := l.migration; d.copy.ID != "" {
-		s.drop(l, d.at[0], d.copy)
+		s.dropCopy(l, d.destinations[0], d.copy)
 	}
 }
 
-// pay uses the retry that was taken for a migration, or takes one.
-func (s *streamRun) pay(d *migration) bool {
-	paid := d.paid
-	d.paid = nil
-	if paid != nil && paid.valid(time.Now()) {
+// useRetry uses the retry acquired during the migration if it is still valid, else acquires
+// one. It reports whether there is a retry.
+func (s *streamRun) useRetry(d *migration) bool {
+	retry := d.retry
+	d.retry = nil
+	if retry != nil && retry.valid(time.Now()) {
 		return true
 	}
-	return s.mayResume(s.ctx, d.how)
+	return s.acquireResume(s.ctx, d.how)
 }
 
-// forget ends a migration that is not needed any more.
-func (s *streamRun) forget(l *leg) {
+// cancelMigration ends a migration that is no longer needed.
+func (s *streamRun) cancelMigration(l *leg) {
 	d := l.migration
 	if d == nil {
 		return
 	}
 	d.cancel()
-	// A copy on its way is waited for and dropped, but not before the caller has its end.
+	// Wait for a copy in progress and drop it, but without delaying the end of the caller's
+	// response.
 	go func() {
 		<-d.done
-		if d.next != nil {
-			d.next.end()
+		if d.nextLeg != nil {
+			d.nextLeg.end()
 		}
-		s.dropStopped(l)
+		s.dropStoppedCopy(l)
 	}()
 }
--- a/node/relay/permit.go
+++ b/node/relay/permit.go
@@ -10,15 +10,15 @@
 	"almondseam.dev/core/targetlimit"
 )
 
-// permit is the right to send one request to a target. Every send needs one: what a target
-// bears in all, no entry can count alone.
+// permit is the right to send one request to a target. Every send needs one, because no relay
+// alone can count the requests that a target receives in total.
 type permit struct {
 	target *Target
-	// grants are those of the control group; empty where the target bears what comes.
+	// grants are from the control group; empty if the target is neither cold nor rate limited.
 	grants []Retry
 }
 
-// valid tells whether the permit may still be used.
+// valid reports whether the permit may still be used.
 func (p *permit) valid(now time.Time) bool {
 	for i := range p.grants {
 		if !p.grants[i].valid(now) {
@@ -28,36 +28,38 @@
 	return true
 }
 
-// errHeldBack reports a send that was held back because the group has granted others all that
-// the target bears.
-var errHeldBack = errors.New("others are granted all the requests that the target bears")
+// errHeldBack reports a send that was skipped because the control group has granted all of the
+// target's capacity to other requests.
+var errHeldBack = errors.New("the target's capacity is granted to other requests")
 
-// permit takes the right to send a request to a target, false if there is none for now: the
-// target is then passed over for a while.
+// permit acquires the right to send a request to a target. It returns false if there is
+// none at present; the target is then excluded for a while.
 //
-// A target that is cold, or that names a limit, seems empty to every entry, and each alone sends
-// little. Grants are entries of the replicated log, so that the sum holds however many entries
-// there are and whatever they know of each other. An entry without an answer sends nothing.
+// A target that is cold or announces a rate limit seems idle to every relay, even when all
+// relays together overload it, because each of them sends only a few requests. Grants are
+// entries in the replicated log, so that their total is bounded however many relays there are
+// and whatever they know of each other. A relay that gets no answer from the control group
+// sends nothing.
 func (r *Relay) permit(ctx context.Context, req *Request, t *Target) (*permit, bool) {
 	p := &permit{target: t}
-	if r.withinLimit(ctx, req, p) && r.mayStart(ctx, req, p) {
+	if r.acquireLimitGrant(ctx, req, p) && r.acquireColdGrant(ctx, req, p) {
 		return p, true
 	}
-	r.giveBack(p)
+	r.releasePermit(p)
 	r.obs.Attempted(req, t, outcomeHeldBack, errHeldBack)
 	return nil, false
 }
 
-// giveBack returns a permit that was not used.
-func (r *Relay) giveBack(p *permit) {
+// releasePermit returns the grants of a permit that was not used.
+func (r *Relay) releasePermit(p *permit) {
 	for _, g := range p.grants {
 		r.retries.GiveBack(g)
 	}
 	p.grants = nil
 }
 
-// withinLimit takes the grant for a request to a target that names a limit.
-func (r *Relay) withinLimit(ctx context.Context, req *Request, p *permit) bool {
+// acquireLimitGrant acquires the grant that a request to a rate-limited target needs.
+func (r *Relay) acquireLimitGrant(ctx context.Context, req *Request, p *permit) bool {
 	t := p.target
 	limit := t.view().Current
 	if !limit.Limited {
@@ -67,38 +69,39 @@
 	if v.OK {
 		p.grants = append(p.grants, grant)
 	} else if ctx.Err() == nil {
-		t.passOverFor(targetlimit.RetryDelay(limit.Rate, r.targets.Entries(), v.RetryAfter, rand.Float64()))
+		t.holdBack(targetlimit.RetryDelay(limit.Rate, r.targets.RelayCount(), v.RetryAfter, rand.Float64()))
 	}
 	r.obs.LimitedSend(req, t, limit, v)
 	return v.OK
 }
 
-// mayStart takes the grant for a request to a target that is cold.
-func (r *Relay) mayStart(ctx context.Context, req *Request, p *permit) bool {
+// acquireColdGrant acquires the grant that a request to a cold target needs.
+func (r *Relay) acquireColdGrant(ctx context.Context, req *Request, p *permit) bool {
 	t := p.target
 	rate := r.service(t.Service).ColdRate
-	if rate <= 0 || !r.cold(t, time.Now()) {
+	if rate <= 0 || !r.isCold(t, time.Now()) {
 		return true
 	}
 	grant, v := r.retries.ForTarget(ctx, retrybudget.PurposeColdStart, t.Service, t.Target, rate)
 	if v.OK {
 		p.grants = append(p.grants, grant)
 	} else if ctx.Err() == nil {
-		t.passOverFor(refusedFor)
+		t.holdBack(maxRefusalTime)
 	}
 	r.obs.ColdStart(req, t, v)
 	return v.OK
 }
 
-// heldBackFor gives how long the targets are passed over that a request could go to, zero if
-// there are none or one is not.
-func (r *Relay) heldBackFor(req *Request, now time.Time) time.Duration {
+// heldBackTime returns the time until the first of the request's eligible, untried targets is
+// no longer held back. It returns zero if there is no such target, or if one of them is not
+// held back.
+func (r *Relay) heldBackTime(req *Request, now time.Time) time.Duration {
 	soonest := time.Duration(0)
 	for _, t := range r.targets.Of(req.Service) {
-		if !r.inUse(req, t) || contains(req.asked, t) {
+		if !r.eligible(req, t) || contains(req.tried, t) {
 			continue
 		}
-		left := time.Duration(t.heldBackTill.Load() - now.UnixNano())
+		left := time.Duration(t.heldBackUntil.Load() - now.UnixNano())
 		if left <= 0 {
 			return 0
 		}
@@ -109,8 +112,9 @@
 	return soonest
 }
 
-// passOverFor leaves the target alone for a while, as the group has refused a request to it.
-func (t *Target) passOverFor(d time.Duration) { t.heldBackTill.Store(time.Now().Add(d).UnixNano()) }
+// holdBack excludes the target for a while, because the control group has refused a request to
+// it.
+func (t *Target) holdBack(d time.Duration) { t.heldBackUntil.Store(time.Now().Add(d).UnixNano()) }
 
-// heldBack tells whether the group has just refused a request to the target.
-func (t *Target) heldBack(now time.Time) bool { return now.UnixNano() < t.heldBackTill.Load() }
+// isHeldBack reports whether the control group has recently refused a request to the target.
+func (t *Target) isHeldBack(now time.Time) bool { return now.UnixNano() < t.heldBackUntil.Load() }
--- a/node/relay/place.go
+++ b/node/relay/place.go
@@ -10,15 +10,15 @@
 	"almondseam.dev/core/routeconf"
 )
 
-// place chooses a target of a service for a request, nil if there is none that
-// may be asked. Targets in not are left out.
-func (r *Relay) place(req *Request, service api.ServiceID, not []*Target) *Target {
+// pickTarget selects a target of a service for a request, nil if there is none. Targets in
+// exclude are left out.
+func (r *Relay) pickTarget(req *Request, service api.ServiceID, exclude []*Target) *Target {
 	list := r.targets.Of(service)
 	now := time.Now()
-	choice := placement.Pick(r.candidates(req, list, not, now), placement.Need{
-		Zone:   r.set.Zone,
+	choice := placement.Pick(r.candidates(req, list, exclude, now), placement.Need{
+		Zone:   r.settings.Zone,
 		Tokens: req.tokens,
-		Draws:  placement.DrawsFor(len(list), r.targets.Entries()),
+		Draws:  placement.DrawsFor(len(list), r.targets.RelayCount()),
 	}, rand.Float64)
 	if choice < 0 {
 		return nil
@@ -26,11 +26,11 @@
 	return list[choice]
 }
 
-// placePermitted chooses a target of the request's service that it may be sent to, nil if
-// there is none. Targets that the request was meant for before are left out.
-func (r *Relay) placePermitted(ctx context.Context, req *Request) *permit {
-	for range maxLooks {
-		t := r.place(req, req.Service, req.asked)
+// pickPermitted selects a target of the request's service and acquires a permit for it; nil if
+// there is none. It excludes targets that were already selected for the request.
+func (r *Relay) pickPermitted(ctx context.Context, req *Request) *permit {
+	for range maxTargetTries {
+		t := r.pickTarget(req, req.Service, req.tried)
 		if t == nil {
 			return nil
 		}
@@ -41,8 +41,8 @@
 	return nil
 }
 
-// candidates describes targets to the placement of a request, in their order.
-func (r *Relay) candidates(req *Request, list []*Target, not []*Target, now time.Time) []placement.Candidate {
+// candidates describes targets to the placement of a request, in the order of list.
+func (r *Relay) candidates(req *Request, list []*Target, exclude []*Target, now time.Time) []placement.Candidate {
 	out := make([]placement.Candidate, len(list))
 	for i, t := range list {
 		load := t.Load()
@@ -53,53 +53,54 @@
 			Tokens:   load.Tokens,
 			Unread:   load.Unread,
 			Capacity: r.capacity(t),
-			Cold:     r.cold(t, now),
-			Avoid:    t.avoided(now),
-			Full:     t.full(now),
-			Excluded: !r.usable(req, t, now) || contains(not, t),
+			Cold:     r.isCold(t, now),
+			Avoid:    t.isAvoided(now),
+			Full:     t.isFull(now),
+			Excluded: !r.usable(req, t, now) || contains(exclude, t),
 		}
 	}
 	return out
 }
 
-// copyCandidates describes targets to the placement of a copy of a run. One that names a limit
-// is the last choice: the run may go on there only with a grant.
-func (r *Relay) copyCandidates(req *Request, list []*Target, not []*Target, now time.Time) []placement.Candidate {
-	out := r.candidates(req, list, not, now)
+// copyCandidates describes targets to the placement of a copy of a run. Rate-limited targets
+// are the last choice: the run may be continued there only with a grant.
+func (r *Relay) copyCandidates(req *Request, list []*Target, exclude []*Target, now time.Time) []placement.Candidate {
+	out := r.candidates(req, list, exclude, now)
 	for i, t := range list {
 		out[i].Avoid = out[i].Avoid || t.limit().Limited
 	}
 	return out
 }
 
-// usable tells whether a target may be sent a request at present.
+// usable reports whether a target may be sent the request at present.
 func (r *Relay) usable(req *Request, t *Target, now time.Time) bool {
-	return r.inUse(req, t) && !t.heldBack(now)
+	return r.eligible(req, t) && !t.isHeldBack(now)
 }
 
-// inUse tells whether a target is one that serves requests like this one.
-func (r *Relay) inUse(req *Request, t *Target) bool {
-	return !t.draining.Load() && !t.evacuated() && r.atHome(req, t)
+// eligible reports whether a target serves requests like this one: it is not draining, not
+// evacuated and in an allowed region.
+func (r *Relay) eligible(req *Request, t *Target) bool {
+	return !t.draining.Load() && !t.evacuated() && r.inAllowedRegion(req, t)
 }
 
-// atHome tells whether the target is in a region in which the request may be served.
-func (r *Relay) atHome(req *Request, t *Target) bool {
-	return req.Route.Served(req.Customer, r.set.Regions[t.Zone])
+// inAllowedRegion reports whether the target is in a region in which the request may be served.
+func (r *Relay) inAllowedRegion(req *Request, t *Target) bool {
+	return req.Route.Served(req.Customer, r.settings.Regions[t.Zone])
 }
 
-// outsideHomes tells whether all targets of a request's service are in regions in which it
-// must not be served.
-func (r *Relay) outsideHomes(req *Request) bool {
+// noneInAllowedRegion reports whether the request's service has targets, all of them in regions
+// in which the request must not be served.
+func (r *Relay) noneInAllowedRegion(req *Request) bool {
 	list := r.targets.Of(req.Service)
 	for _, t := range list {
-		if r.atHome(req, t) {
+		if r.inAllowedRegion(req, t) {
 			return false
 		}
 	}
 	return len(list) > 0
 }
 
-// service gives what the configuration says of a service, nothing if that isn't known.
+// service returns the configuration of a service, or the zero value if it is unknown.
 func (r *Relay) service(id api.ServiceID) routeconf.Service {
 	table := r.live.Load()
 	if table == nil {
@@ -112,7 +113,7 @@
 	return *service
 }
 
-// engine tells what the engines of a service can do, nil if that isn't known.
+// engine returns the properties of a service's engines, nil if they are unknown.
 func (r *Relay) engine(id api.ServiceID) *routeconf.Engine { return r.service(id).Engine }
 
 func (r *Relay) capacity(t *Target) int {
--- a/node/relay/ports.go
+++ b/node/relay/ports.go
@@ -1,9 +1,18 @@
-// Package relay is the front of the system for routed traffic: it takes callers'
-// HTTP requests as they are, finds their route, customer and target, and passes
-// requests and answers on unchanged.
+// Package relay implements the reverse proxy for routed traffic. It accepts callers' HTTP
+// requests, determines their route, customer and target, and forwards requests and responses
+// unchanged.
 //
-// A Relay serves many requests at once. What it routes by, the configuration and
-// the table of targets, is read without a lock and replaced whole.
+// Each routed entry process (see node/process) runs one Relay; comments call such a process a
+// relay. The control group is the set of processes that replicates the configuration, retry
+// grants, rate limits and evacuations. An engine is a target that serves a generative model: it
+// processes the prompt (prefill), generates tokens, and holds the state of each run in its KV
+// cache, which is measured in tokens. A run is the execution of one request at an engine. When
+// an engine drains, its streams are migrated: another engine continues the run from a copy of
+// its KV cache, which is either a standby copy, updated while the run grows, or a copy made on
+// demand.
+//
+// A Relay serves requests concurrently. The configuration and the lists of targets are read
+// without a lock and replaced as a whole.
 package relay
 
 import (
@@ -15,127 +24,131 @@
 	"almondseam.dev/core/targetlimit"
 )
 
-// Ask is what a caller's request says of itself.
+// Ask holds the parameters in the header of a caller's request.
 type Ask struct {
 	Request api.RequestID
-	// Patience is how long the caller will wait, counted from the arrival of the
-	// request; zero if it does not say.
+	// Patience is how long the caller will wait, counted from the arrival of the request; zero
+	// if unknown.
 	Patience time.Duration
 	Key      string
-	// PromptTokens and MaxTokens are the length of the prompt and the most tokens
-	// that may be generated.
+	// PromptTokens is the length of the prompt, MaxTokens the maximum number of tokens that may
+	// be generated.
 	PromptTokens int
 	MaxTokens    int
-	// LikelyTokens is the caller's guess of how many will be generated: right at the
-	// median, often far off; zero if it does not say.
+	// LikelyTokens is the caller's estimate of how many tokens will be generated; zero if
+	// unknown. The estimate is right at the median, but often far off.
 	LikelyTokens int
-	// LastEvent is the last event of a broken stream that the caller has.
+	// LastEvent is the ID of the last event of an interrupted stream that the caller has
+	// received.
 	LastEvent string
 }
 
-// Directive is what the system tells a target along with a request.
+// Directive holds the parameters that a relay sends to a target in the header of a request.
 type Directive struct {
 	Target   api.TargetID
 	Customer api.CustomerID
-	// Remaining is how long the target may work.
+	// Remaining is how long the target may work on the request.
 	Remaining time.Duration
-	// Urgency orders requests at an engine, 0 first; below zero is not said.
+	// Urgency orders requests at an engine, 0 first; a negative value is not sent.
 	Urgency int
-	// Reservation names the slot and memory that the engine has set aside for the
+	// Reservation is the ID of the slot and memory that the engine has reserved for the
 	// request.
 	Reservation string
-	// CopyTo is the address of the engine to which the run's memory is copied as
-	// it grows.
+	// CopyTo is the address of the engine to which the run's KV cache is copied as it grows.
 	CopyTo string
-	// CopyFrom names the memory to continue from.
+	// CopyFrom is the copy from which the run is continued.
 	CopyFrom Copy
-	// LastEvent is the event after which the answer continues.
+	// LastEvent is the ID of the event after which the response continues.
 	LastEvent string
 }
 
-// Copy names the memory of a run that is kept at an engine.
+// Copy identifies a copy of a run's KV cache that is kept at an engine.
 type Copy struct {
 	Address string
 	ID      string
 }
 
-// Reply is what a target's answer says of itself.
+// Reply holds the statements in the header of a target's response.
 type Reply struct {
 	Request api.RequestID
-	// NotRun is set when the target states that it did not run the request.
+	// NotRun is set if the target states that it did not run the request.
 	NotRun bool
-	// WrongTarget is set when another target has the address.
+	// WrongTarget is set if another target has the address.
 	WrongTarget bool
-	// Limited is set when the target names a limit, and Limit is that: the requests a
-	// second that it takes from all instances together.
+	// Limited is set if the target announces a rate limit, and Limit is that limit: the
+	// requests per second that the target accepts from all instances together.
 	Limited bool
 	Limit   float64
-	// LimitErr tells that the target names a limit that can't be read.
+	// LimitErr is set if the target announces a limit that cannot be parsed.
 	LimitErr error
 }
 
-// Dialect encodes and decodes the headers of requests and answers. It is safe for
-// concurrent use.
+// Dialect encodes and decodes the headers of requests and responses. It is safe for concurrent
+// use.
 type Dialect interface {
-	// Ask decodes a caller's headers. An error means that they can't be read.
+	// Ask decodes a caller's headers. It returns an error if they are malformed.
 	Ask(h http.Header) (Ask, error)
-	// Direct takes out of h what only the system may say, and sets d.
+	// Direct removes the fields from h that callers must not set, and encodes d.
 	Direct(h http.Header, d Directive)
-	// Reply decodes a target's answer.
+	// Reply decodes the header of a target's response.
 	Reply(status int, h http.Header) Reply
 }
 
-// Engines are the calls to model engines beside requests. Safe for concurrent use.
+// Engines makes calls to model engines other than forwarded requests. It is safe for concurrent
+// use.
 type Engines interface {
-	// Move copies a run's memory to another engine; with stop the run ends first. It
-	// gives the name under which the memory can be taken up. A stopped run has one
-	// also with an error: the engine that it ran at keeps its memory.
+	// Move copies a run's KV cache from the engine at address at to the engine at address to;
+	// with stop, the run is ended first. It returns the copy from which the run can be
+	// continued. For a stopped run it returns a copy even with an error: the engine at address
+	// at then keeps the KV cache.
 	Move(ctx context.Context, at string, run api.RequestID, to string, stop bool) (Copy, error)
-	// Drop frees the memory of a copy at an engine; at the one that made the copy, at both.
+	// Drop frees a copy at the engine at address at. If that engine made the copy, it is freed
+	// at the receiving engine too.
 	Drop(ctx context.Context, at string, id string) error
-	// Reserve sets a slot and memory aside for one request, for a while. ErrNoRoom
-	// says that the engine has none; with any other error nothing is known.
+	// Reserve reserves a slot and memory for one request for the time ttl. It returns ErrNoRoom
+	// if the engine has none left; any other error leaves the outcome unknown.
 	Reserve(ctx context.Context, at string, tokens int, ttl time.Duration) (string, error)
 }
 
-// Observer is notified of requests, for metrics and events. Its methods are called from
-// many goroutines and must not block.
+// Observer is notified of events in the life of requests, for metrics and logs. Its methods are
+// called from many goroutines and must not block.
 type Observer interface {
-	// Refused tells of a request that was answered without having run.
+	// Refused reports a request that was answered without having been run.
 	Refused(r *Request, status int, reason api.Reason)
-	// Held tells that a request waited at the entry for an engine with room.
+	// Held reports that a request waited at the relay for an engine with room.
 	Held(r *Request, waited time.Duration)
-	// NoRoom tells that an engine set no room aside for a request.
+	// NoRoom reports that an engine made no reservation for a request.
 	NoRoom(r *Request, t *Target, err error)
-	// Sent tells of each time that a request goes to a target.
+	// Sent reports that a request is sent to a target; why is the reason for this send.
 	Sent(r *Request, t *Target, why string)
-	// ColdStart tells whether a request may be sent to a target that is cold.
+	// ColdStart reports whether a request may be sent to a cold target.
 	ColdStart(r *Request, t *Target, v RetryVerdict)
-	// LimitChanged tells that this entry goes by another limit of a target: by its answer to a
-	// request, or, where that is nil, by what the control group tells.
+	// LimitChanged reports that this relay applies another limit to a target, either because of
+	// the response to r or, if r is nil, because of an update from the control group.
 	LimitChanged(r *Request, t *Target, before, after targetlimit.Statement)
-	// LimitNotStated tells that the control group could not be told of a target's limit.
+	// LimitNotStated reports that a target's limit could not be reported to the control group.
 	LimitNotStated(t *Target, err error)
-	// LimitUnreadable tells that a target's answer names a limit that can't be read. It is
-	// told once until the target names one that can be.
+	// LimitUnreadable reports that a target announced a limit that cannot be parsed. It is not
+	// called again for the target until one of its responses arrives without that error.
 	LimitUnreadable(r *Request, t *Target, err error)
-	// LimitedSend tells whether a request may be sent to a target that names a limit.
+	// LimitedSend reports whether a request may be sent to a rate-limited target.
 	LimitedSend(r *Request, t *Target, limit targetlimit.Statement, v RetryVerdict)
-	// Attempted tells what one send came to.
+	// Attempted reports the outcome of one send.
 	Attempted(r *Request, t *Target, outcome string, err error)
-	// RetryGranted tells that the retry budget allowed one more send; why is what it is
-	// for.
+	// RetryGranted reports that the retry budget allowed another send; why is the reason for
+	// that send.
 	RetryGranted(r *Request, why string, v RetryVerdict)
-	// RetryDenied tells that it did not.
+	// RetryDenied reports that the retry budget did not allow another send.
 	RetryDenied(r *Request, why string, v RetryVerdict)
-	// MigrationSkipped tells that a stream was not migrated from its draining engine, and why.
+	// MigrationSkipped reports that a stream was not migrated from its draining engine, and
+	// why.
 	MigrationSkipped(r *Request, from *Target, why string)
-	// Copied tells of one copy of a run between two engines.
+	// Copied reports one copy of a run between two engines.
 	Copied(r *Request, from, to *Target, stop bool, took time.Duration, err error)
-	// Dropped tells that a copy of a run which nobody takes up was freed, or why not.
+	// Dropped reports that an unused copy of a run was freed, or the error that prevented it.
 	Dropped(r *Request, at *Target, err error)
-	// Migrated tells that a stream is continued at another engine after a pause.
+	// Migrated reports that a stream is continued at another engine after a pause.
 	Migrated(r *Request, from, to *Target, how string, pause time.Duration)
-	// Ended tells how a request ended towards its caller.
+	// Ended reports the end of a request as seen by its caller.
 	Ended(r *Request, status int, outcome string)
 }
--- a/node/relay/reading.go
+++ b/node/relay/reading.go
@@ -8,40 +8,40 @@
 	"almondseam.dev/core/estimate"
 )
 
-// readingSpeeds holds how fast the engines of each service read prompts. It is safe
-// for concurrent use.
-type readingSpeeds struct {
-	mu sync.Mutex
-	by map[api.ServiceID]*estimate.PrefillEstimator
+// prefillRates estimates how fast the engines of each service process prompts. It is safe for
+// concurrent use.
+type prefillRates struct {
+	mu        sync.Mutex
+	byService map[api.ServiceID]*estimate.PrefillEstimator
 }
 
-func newReadingSpeeds() *readingSpeeds {
-	return &readingSpeeds{by: make(map[api.ServiceID]*estimate.PrefillEstimator)}
+func newPrefillRates() *prefillRates {
+	return &prefillRates{byService: make(map[api.ServiceID]*estimate.PrefillEstimator)}
 }
 
-func (r *readingSpeeds) service(s api.ServiceID) *estimate.PrefillEstimator {
-	one := r.by[s]
+func (r *prefillRates) estimator(s api.ServiceID) *estimate.PrefillEstimator {
+	one := r.byService[s]
 	if one == nil {
 		one = &estimate.PrefillEstimator{}
-		r.by[s] = one
+		r.byService[s] = one
 	}
 	return one
 }
 
-// learn takes the reading that begun tells of, if it does.
-func (r *readingSpeeds) learn(s api.ServiceID, begun func() (int, time.Duration)) {
-	tokens, took := begun()
+// record adds the measurement that finishPrefill returns, if it returns one.
+func (r *prefillRates) record(s api.ServiceID, measure func() (int, time.Duration)) {
+	tokens, took := measure()
 	if tokens == 0 {
 		return
 	}
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.service(s).Observe(tokens, took)
+	r.estimator(s).Observe(tokens, took)
 }
 
-// of gives the speed in tokens a second.
-func (r *readingSpeeds) of(s api.ServiceID) float64 {
+// rate returns the estimate in prompt tokens per second.
+func (r *prefillRates) rate(s api.ServiceID) float64 {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return r.service(s).Speed()
+	return r.estimator(s).Speed()
 }
--- a/node/relay/relay.go
+++ b/node/relay/relay.go
@@ -16,30 +16,30 @@
 	"almondseam.dev/node/upstream"
 )
 
-// Settings of a Relay.
+// Settings holds the settings of a Relay.
 type Settings struct {
 	Zone api.Zone
-	// Regions are the regions by availability zone; empty where they aren't known.
+	// Regions maps availability zones to regions; empty if the regions are unknown.
 	Regions map[api.Zone]api.Region
 }
 
-// Ports of a Relay.
+// Ports holds the dependencies of a Relay.
 type Ports struct {
-	// Live is the configuration in force; nil in it means none yet.
+	// Live holds the configuration in force, nil until the first one arrives.
 	Live    *atomic.Pointer[routeconf.Table]
 	Targets *Targets
 	Pool    *upstream.Pool
 	Dialect Dialect
 	Engines Engines
 	Retries *Retries
-	// LimitReports tell the control group of targets' limits.
+	// LimitReports reports the rate limits of targets to the control group.
 	LimitReports *LimitReports
 	Observer     Observer
 }
 
-// Relay handles callers' requests.
+// Relay is the HTTP handler for callers' requests.
 type Relay struct {
-	set          Settings
+	settings     Settings
 	live         *atomic.Pointer[routeconf.Table]
 	targets      *Targets
 	pool         *upstream.Pool
@@ -48,53 +48,52 @@
 	retries      *Retries
 	limitReports *LimitReports
 	obs          Observer
-	lengths      *lengths
-	reading      *readingSpeeds
+	costRanks    *costRanks
+	prefill      *prefillRates
 }
 
-// New makes a relay.
-func New(set Settings, p Ports) *Relay {
+// New returns a Relay.
+func New(settings Settings, p Ports) *Relay {
 	return &Relay{
-		set: set, live: p.Live, targets: p.Targets, pool: p.Pool, dialect: p.Dialect,
-		engines: p.Engines, retries: p.Retries, limitReports: p.LimitReports, obs: p.Observer, lengths: newLengths(), reading: newReadingSpeeds(),
+		settings: settings, live: p.Live, targets: p.Targets, pool: p.Pool, dialect: p.Dialect,
+		engines: p.Engines, retries: p.Retries, limitReports: p.LimitReports, obs: p.Observer, costRanks: newCostRanks(), prefill: newPrefillRates(),
 	}
 }
 
-// Retry-After values of refusals, where nothing better is known.
+// Retry-After values for refused requests, used if no better value is known.
 const (
-	// retryNoConfig: an entry that has just started gets its configuration within a
-	// second.
+	// retryNoConfig: a relay that has just started receives its configuration within a second.
 	retryNoConfig = time.Second
-	// retryNoTarget: targets announce themselves every second or so.
+	// retryNoTarget: targets announce themselves about once a second.
 	retryNoTarget = 700 * time.Millisecond
-	// retryBusy: a full target has a free place after a fraction of a second.
+	// retryBusy: a full target has a free slot after a fraction of a second.
 	retryBusy = 300 * time.Millisecond
-	// retryRoom to twice that: memory of engines is scarce for as long as the
-	// streams last that hold it, some seconds. Spread, callers that were refused
-	// together do not come back together.
+	// retryRoom to twice that: the memory of engines stays scarce until the streams that occupy
+	// it end, which takes some seconds. The random part keeps callers that were refused
+	// together from retrying together.
 	retryRoom = 2 * time.Second
 )
 
-// retryAfter tells a caller when there is likely to be room.
+// retryAfter returns the time after which there is likely to be room for the request.
 func retryAfter(req *Request) time.Duration {
 	if !req.Route.Generates {
 		return retryBusy
 	}
 	spread := retryRoom + time.Duration(rand.Float64()*float64(retryRoom))
-	// Callers come back within a part of their patience only.
-	return min(spread, time.Until(req.Deadline)/patienceShare)
+	// Callers retry only within a fraction of their patience.
+	return min(spread, time.Until(req.Deadline)/patienceDivisor)
 }
 
 // ServeHTTP implements http.Handler.
 func (r *Relay) ServeHTTP(w http.ResponseWriter, hr *http.Request) {
-	req := &Request{Arrived: time.Now(), received: received{caller: hr, out: w}}
+	req := &Request{Arrived: time.Now(), received: received{httpRequest: hr, writer: w}}
 	if !r.admit(req) {
 		return
 	}
 	ctx, cancel := context.WithDeadline(hr.Context(), req.Deadline)
 	defer cancel()
 	control := http.NewResponseController(w)
-	// A caller that does not read would hold this goroutine past the deadline.
+	// Without the deadline a caller that does not read would block this goroutine beyond it.
 	_ = control.SetWriteDeadline(req.Deadline.Add(writeGrace))
 	r.awaitTargets(ctx, req)
 	if req.Route.Kind == routeconf.KindStream {
@@ -105,13 +104,13 @@
 	_ = control.SetWriteDeadline(time.Time{})
 }
 
-// writeGrace lets the answer to a timeout out after the deadline itself.
+// writeGrace is how long after the deadline the response to a timeout may be written.
 const writeGrace = 300 * time.Millisecond
 
-// admit finds route, service and customer, and reads the body. On false the
-// request has been answered.
+// admit determines the route, service and customer of a request, and reads its body. If it
+// returns false, the request has been answered.
 func (r *Relay) admit(req *Request) bool {
-	hr := req.caller
+	hr := req.httpRequest
 	ask, err := r.dialect.Ask(hr.Header)
 	if err != nil {
 		return r.refuse(req, http.StatusBadRequest, api.ReasonBadRequest, 0)
@@ -140,55 +139,55 @@
 	req.Deadline = deadline(req)
 	req.Service = req.Route.Pick(rand.Float64())
 	req.tokens = expectedTokens(&req.Ask, 0)
-	req.length = r.lengths.rank(req.Service, cost(&req.Ask, req.tokens))
+	req.costRank = r.costRanks.rank(req.Service, cost(&req.Ask, req.tokens))
 	return r.readBody(req, table.Config.Limits)
 }
 
 const (
-	// startWait is how long a request is held while this entry has no configuration
-	// or knows no target of its service, which after a start is over within a
-	// second: refused, the caller would come back later than it is served now.
-	startWait = 1200 * time.Millisecond
-	// startLook is the interval at which that is checked.
-	startLook = 25 * time.Millisecond
-	// patienceShare is the part of a caller's patience that it may be held for, one
-	// in so many: what is left is enough to be served, or to come back.
-	patienceShare = 3
+	// startupWait is how long a request waits while this relay has no configuration, or knows
+	// no target of its service. After a start both arrive within a second, so that a caller
+	// that was refused would be served later than one that waits.
+	startupWait = 1200 * time.Millisecond
+	// startupPoll is the interval at which a waiting request checks for them.
+	startupPoll = 25 * time.Millisecond
+	// patienceDivisor bounds the wait to this fraction, 1/patienceDivisor, of the caller's
+	// patience: the rest suffices to serve the request, or for the caller to retry.
+	patienceDivisor = 3
 )
 
-// awaitConfig gives the configuration in force; after a start it waits for the
-// first one, but no longer than a share of the caller's patience.
+// awaitConfig returns the configuration in force. If there is none yet, it waits for the first
+// one, but no longer than a fraction of the caller's patience; it returns nil if none arrives.
 func (r *Relay) awaitConfig(req *Request) *routeconf.Table {
 	table := r.live.Load()
 	if table != nil {
 		return table
 	}
-	wait := startWait
-	if p := req.Ask.Patience / patienceShare; p > 0 {
+	wait := startupWait
+	if p := req.Ask.Patience / patienceDivisor; p > 0 {
 		wait = min(wait, p)
 	}
-	hold(req.caller.Context(), wait, startLook, func() bool {
+	waitUntil(req.httpRequest.Context(), wait, startupPoll, func() bool {
 		table = r.live.Load()
 		return table != nil
 	})
 	return table
 }
 
-// awaitTargets waits for the first target of a service to be known.
+// awaitTargets waits until a target of the request's service is known, for a limited time.
 func (r *Relay) awaitTargets(ctx context.Context, req *Request) {
 	known := func() bool { return len(r.targets.Of(req.Service)) > 0 }
 	if known() {
 		return
 	}
-	wait := time.Until(req.Arrived.Add(startWait))
-	if p := req.Ask.Patience / patienceShare; p > 0 {
+	wait := time.Until(req.Arrived.Add(startupWait))
+	if p := req.Ask.Patience / patienceDivisor; p > 0 {
 		wait = min(wait, time.Until(req.Arrived.Add(p)))
 	}
-	hold(ctx, wait, startLook, known)
+	waitUntil(ctx, wait, startupPoll, known)
 }
 
-// hold waits until done, which it checks at an interval, for some time at most.
-func hold(ctx context.Context, wait, interval time.Duration, done func() bool) {
+// waitUntil polls done at an interval until it returns true, wait has passed or ctx ends.
+func waitUntil(ctx context.Context, wait, interval time.Duration, done func() bool) {
 	limit := time.NewTimer(wait)
 	defer limit.Stop()
 	look := time.NewTicker(interval)
@@ -205,12 +204,12 @@
 }
 
 func (r *Relay) readBody(req *Request, limits routeconf.Limits) bool {
-	hr := req.caller
+	hr := req.httpRequest
 	body := io.Reader(hr.Body)
 	if limits.BodyBytes > 0 {
-		body = http.MaxBytesReader(req.out, hr.Body, int64(limits.BodyBytes))
+		body = http.MaxBytesReader(req.writer, hr.Body, int64(limits.BodyBytes))
 	}
-	control := http.NewResponseController(req.out)
+	control := http.NewResponseController(req.writer)
 	_ = control.SetReadDeadline(req.Deadline)
 	b, err := io.ReadAll(body)
 	_ = control.SetReadDeadline(time.Time{})
@@ -222,39 +221,39 @@
 	if errors.As(err, &tooLarge) {
 		return r.refuse(req, http.StatusRequestEntityTooLarge, api.ReasonTooLarge, 0)
 	}
-	req.out.Header().Set("Connection", "close")
+	req.writer.Header().Set("Connection", "close")
 	return r.refuse(req, http.StatusRequestTimeout, api.ReasonTimeout, 0)
 }
 
-// refuse answers a request that has not run, and gives false.
+// refuse answers a request that has not been run, and returns false.
 func (r *Relay) refuse(req *Request, status int, reason api.Reason, retry time.Duration) bool {
 	r.obs.Refused(req, status, reason)
-	r.fail(req, status, reason, retry)
+	r.writeError(req, status, reason, retry)
 	return false
 }
 
-// fail writes an answer of the system's own.
-func (r *Relay) fail(req *Request, status int, reason api.Reason, retry time.Duration) {
-	h := req.out.Header()
+// writeError writes an error response of the relay's own.
+func (r *Relay) writeError(req *Request, status int, reason api.Reason, retry time.Duration) {
+	h := req.writer.Header()
 	h.Set("Content-Type", "text/plain; charset=utf-8")
 	if retry > 0 {
 		h.Set("Retry-After", strconv.FormatFloat(retry.Seconds(), 'f', 2, 64))
 	}
 	text := string(reason) + "\n"
 	h.Set("Content-Length", strconv.Itoa(len(text)))
-	req.out.WriteHeader(status)
-	_, _ = io.WriteString(req.out, text) // a caller that has left needs no answer
+	req.writer.WriteHeader(status)
+	_, _ = io.WriteString(req.writer, text) // a caller that has disconnected needs no response
 	r.obs.Ended(req, status, string(reason))
 }
 
-// gone notes the end of a request whose caller has left.
-func (r *Relay) gone(req *Request) { r.obs.Ended(req, 0, string(api.ReasonCancelled)) }
+// endCancelled reports the end of a request whose caller has disconnected.
+func (r *Relay) endCancelled(req *Request) { r.obs.Ended(req, 0, string(api.ReasonCancelled)) }
 
-// upstreamHeader gives the headers for a target: the caller's own but for those
-// of one connection, and the system's directive.
+// upstreamHeader returns the header for a target: the caller's fields without the hop-by-hop
+// ones, and the relay's directive.
 func (r *Relay) upstreamHeader(req *Request, d Directive) http.Header {
-	h := make(http.Header, len(req.caller.Header)+4)
-	for name, values := range req.caller.Header {
+	h := make(http.Header, len(req.httpRequest.Header)+4)
+	for name, values := range req.httpRequest.Header {
 		h[name] = values
 	}
 	dropHopHeaders(h)
@@ -279,8 +278,8 @@
 	}
 }
 
-// copyAnswerHead gives the caller the headers of a target's answer.
-func copyAnswerHead(to http.Header, from http.Header) {
+// copyResponseHeader copies the header of a target's response, without hop-by-hop fields.
+func copyResponseHeader(to http.Header, from http.Header) {
 	for name, values := range from {
 		to[name] = values
 	}
--- a/node/relay/relay_test.go
+++ b/node/relay/relay_test.go
@@ -23,7 +23,7 @@
 	qt "github.com/frankban/quicktest"
 )
 
-// plainDialect is a dialect with plain names, as no platform speaks it.
+// plainDialect is a Dialect with short header names, unlike those of any real platform.
 type plainDialect struct{}
 
 func (plainDialect) Ask(h http.Header) (Ask, error) {
@@ -52,47 +52,50 @@
 	}
 }
 
-// quiet is an Observer that hears nothing.
-type quiet struct{}
-
-func (quiet) Refused(*Request, int, api.Reason)                                            {}
-func (quiet) Held(*Request, time.Duration)                                                 {}
-func (quiet) NoRoom(*Request, *Target, error)                                              {}
-func (quiet) Sent(*Request, *Target, string)                                               {}
-func (quiet) Attempted(*Request, *Target, string, error)                                   {}
-func (quiet) Copied(*Request, *Target, *Target, bool, time.Duration, error)                {}
-func (quiet) RetryGranted(*Request, string, RetryVerdict)                                  {}
-func (quiet) Dropped(*Request, *Target, error)                                             {}
-func (quiet) LimitedSend(*Request, *Target, targetlimit.Statement, RetryVerdict)           {}
-func (quiet) LimitNotStated(*Target, error)                                                {}
-func (quiet) LimitUnreadable(*Request, *Target, error)                                     {}
-func (quiet) LimitChanged(*Request, *Target, targetlimit.Statement, targetlimit.Statement) {}
-func (quiet) ColdStart(*Request, *Target, RetryVerdict)                                    {}
-func (quiet) RetryDenied(*Request, string, RetryVerdict)                                   {}
-func (quiet) MigrationSkipped(*Request, *Target, string)                                   {}
-func (quiet) Migrated(*Request, *Target, *Target, string, time.Duration)                   {}
-func (quiet) Ended(*Request, int, string)                                                  {}
-func (quiet) Dialled(string, error)                                                        {}
-
-// mover is the engines' moves, as a test wants them.
-type mover func(at string, to string, stop bool) (Copy, error)
+// nopObserver is an Observer that ignores all events.
+type nopObserver struct{}
+
+func (nopObserver) Refused(*Request, int, api.Reason)                                            {}
+func (nopObserver) Held(*Request, time.Duration)                                                 {}
+func (nopObserver) NoRoom(*Request, *Target, error)                                              {}
+func (nopObserver) Sent(*Request, *Target, string)                                               {}
+func (nopObserver) Attempted(*Request, *Target, string, error)                                   {}
+func (nopObserver) Copied(*Request, *Target, *Target, bool, time.Duration, error)                {}
+func (nopObserver) RetryGranted(*Request, string, RetryVerdict)                                  {}
+func (nopObserver) Dropped(*Request, *Target, error)                                             {}
+func (nopObserver) LimitedSend(*Request, *Target, targetlimit.Statement, RetryVerdict)           {}
+func (nopObserver) LimitNotStated(*Target, error)                                                {}
+func (nopObserver) LimitUnreadable(*Request, *Target, error)                                     {}
+func (nopObserver) LimitChanged(*Request, *Target, targetlimit.Statement, targetlimit.Statement) {}
+func (nopObserver) ColdStart(*Request, *Target, RetryVerdict)                                    {}
+func (nopObserver) RetryDenied(*Request, string, RetryVerdict)                                   {}
+func (nopObserver) MigrationSkipped(*Request, *Target, string)                                   {}
+func (nopObserver) Migrated(*Request, *Target, *Target, string, time.Duration)                   {}
+func (nopObserver) Ended(*Request, int, string)                                                  {}
+func (nopObserver) Dialled(string, error)                                                        {}
+
+// copyFunc implements Engines with a function for the copies.
+type copyFunc func(at string, to string, stop bool) (Copy, error)
 
 // Move implements Engines.
-func (m mover) Move(_ context.Context, at string, _ api.RequestID, to string, stop bool) (Copy, error) {
+func (m copyFunc) Move(_ context.Context, at string, _ api.RequestID, to string, stop bool) (Copy, error) {
 	return m(at, to, stop)
 }
 
-// Reserve implements Engines: all room is given.
-func (mover) Drop(context.Context, string, string) error { return nil }
+// Drop implements Engines.
+func (copyFunc) Drop(context.Context, string, string) error { return nil }
 
-func (mover) Reserve(context.Context, string, int, time.Duration) (string, error) { return "all", nil }
+// Reserve implements Engines. It always succeeds.
+func (copyFunc) Reserve(context.Context, string, int, time.Duration) (string, error) {
+	return "all", nil
+}
 
-var errNoMove = errors.New("no move")
+var errNoCopy = errors.New("copy failed")
 
-var noMoves = mover(func(string, string, bool) (Copy, error) { return Copy{}, errNoMove })
+var noCopies = copyFunc(func(string, string, bool) (Copy, error) { return Copy{}, errNoCopy })
 
-// stage is a relay before some targets.
-type stage struct {
+// fixture is a relay in front of some targets.
+type fixture struct {
 	c       *qt.C
 	targets *Targets
 	live    atomic.Pointer[routeconf.Table]
@@ -102,15 +105,15 @@
 
 const service = api.ServiceID("s")
 
-// enoughRetries is a budget that no test uses up.
+// enoughRetries is a budget that no test exhausts.
 var enoughRetries = retrybudget.Limits{Ratio: 1, Slack: 100, Window: 10 * time.Second}
 
-func newStage(t *testing.T, route routeconf.Route, engines Engines) *stage {
-	return newStageWith(t, route, engines, enoughRetries)
+func newFixture(t *testing.T, route routeconf.Route, engines Engines) *fixture {
+	return newFixtureWithRetries(t, route, engines, enoughRetries)
 }
 
-func newStageWith(t *testing.T, route routeconf.Route, engines Engines, limits retrybudget.Limits) *stage {
-	s := &stage{c: qt.New(t), targets: NewTargets()}
+func newFixtureWithRetries(t *testing.T, route routeconf.Route, engines Engines, limits retrybudget.Limits) *fixture {
+	s := &fixture{c: qt.New(t), targets: NewTargets()}
 	route.Name, route.Host, route.Prefix, route.Timeout = "r", "127.0.0.1", "/a/", 20*time.Second
 	route.Split = []routeconf.Share{{Service: service, Weight: 1}}
 	engine := &routeconf.Engine{CacheTokens: 1 << 20, BytesPerToken: 1, LinkMbps: 1e6, Moves: true, Backups: true, TokensPerEvent: 1}
@@ -125,22 +128,22 @@
 	s.live.Store(table)
 	s.group = &localPool{limits: limits, pool: retrybudget.NewPool()}
 	r := New(Settings{Zone: "z"}, Ports{
-		Live: &s.live, Targets: s.targets, Pool: upstream.NewPool(quiet{}), Dialect: plainDialect{}, Engines: engines,
-		Retries: NewRetries(limits, s.group), LimitReports: NewLimitReports(newLocalGroup(), quiet{}), Observer: quiet{},
+		Live: &s.live, Targets: s.targets, Pool: upstream.NewPool(nopObserver{}), Dialect: plainDialect{}, Engines: engines,
+		Retries: NewRetries(limits, s.group), LimitReports: NewLimitReports(newLocalGroup(), nopObserver{}), Observer: nopObserver{},
 	})
 	s.url = s.serve(r)
 	return s
 }
 
-// serve lets callers reach a relay, and gives the URL for them.
-func (s *stage) serve(r *Relay) string {
+// serve starts a server for the relay, and returns its URL.
+func (s *fixture) serve(r *Relay) string {
 	server := httptest.NewServer(r)
 	s.c.TB.(*testing.T).Cleanup(server.Close)
 	return server.URL
 }
 
-// target starts a target that answers with h, in zone z for the first choice.
-func (s *stage) target(name string, zone api.Zone, h http.HandlerFunc) directory.Record {
+// target starts a target that answers with h. Targets in zone z are preferred.
+func (s *fixture) target(name string, zone api.Zone, h http.HandlerFunc) directory.Record {
 	server := httptest.NewServer(h)
 	s.c.TB.(*testing.T).Cleanup(func() {
 		server.CloseClientConnections()
@@ -151,16 +154,16 @@
 	return r
 }
 
-func (s *stage) leaves(r directory.Record) {
+func (s *fixture) drain(r directory.Record) {
 	r.State = directory.StateLeaving
 	s.targets.Update([]directory.Record{r})
 }
 
-func (s *stage) ask(path string, header ...string) (*http.Response, string, error) {
+func (s *fixture) ask(path string, header ...string) (*http.Response, string, error) {
 	return s.askAt(s.url, path, header...)
 }
 
-func (s *stage) askAt(url, path string, header ...string) (*http.Response, string, error) {
+func (s *fixture) askAt(url, path string, header ...string) (*http.Response, string, error) {
 	req, err := http.NewRequest(http.MethodPost, url+path, strings.NewReader("a prompt"))
 	s.c.Assert(err, qt.IsNil)
 	req.Header.Set("Id", "1")
@@ -178,8 +181,8 @@
 	return resp, string(body), err
 }
 
-// events writes numbered events, and lets the caller have each at once.
-func events(w http.ResponseWriter, from, to int) {
+// writeEvents writes numbered events, and flushes after each one.
+func writeEvents(w http.ResponseWriter, from, to int) {
 	w.Header().Set("Content-Type", "text/event-stream")
 	for i := from; i <= to; i++ {
 		fmt.Fprintf(w, "id: %d\ndata: piece %d\n\n", i, i)
@@ -187,7 +190,7 @@
 	}
 }
 
-func wanted(from, to int) string {
+func eventText(from, to int) string {
 	var b strings.Builder
 	for i := from; i <= to; i++ {
 		fmt.Fprintf(&b, "id: %d\ndata: piece %d\n\n", i, i)
@@ -195,14 +198,14 @@
 	return b.String()
 }
 
-func last(r *http.Request) int {
+func lastEventNumber(r *http.Request) int {
 	n, _ := strconv.Atoi(r.Header.Get("Last"))
 	return n
 }
 
-// What becomes of a plain request by its kind and by what its target does. lose
-// breaks the connection after the request was read, shed states that it did not
-// run, fail answers with the target's own failure.
+// TestPlainRequests checks the result of a plain request for each kind of route and behaviour
+// of its target. lose breaks the connection after the request was read, shed states that the
+// request was not run, and fail answers with an error of the target's own.
 func TestPlainRequests(t *testing.T) {
 	type behaviour string
 	const serve, lose, shed, fail behaviour = "serve", "lose", "shed", "fail"
@@ -216,17 +219,17 @@
 		arrivals int32
 	}{
 		{"served", routeconf.KindOnce, 1, serve, serve, 200, 1},
-		{"a booking whose answer is lost is not sent again", routeconf.KindOnce, 2, lose, serve, 502, 1},
-		{"a lookup whose answer is lost is", routeconf.KindIdempotent, 2, lose, serve, 200, 2},
+		{"a booking whose response is lost is not sent again", routeconf.KindOnce, 2, lose, serve, 502, 1},
+		{"a lookup whose response is lost is sent again", routeconf.KindIdempotent, 2, lose, serve, 200, 2},
 		{"a lookup is sent to no more targets than the route allows", routeconf.KindIdempotent, 1, lose, serve, 502, 1},
 		{"a booking that was not run goes to another target", routeconf.KindOnce, 2, shed, serve, 200, 2},
-		{"a booking that may go to one target only is refused as not run", routeconf.KindOnce, 1, shed, serve, 503, 1},
-		{"a booking's failure is the target's answer", routeconf.KindOnce, 2, fail, serve, 500, 1},
-		{"a lookup's failure is made good by another target", routeconf.KindIdempotent, 2, fail, serve, 200, 2},
-		{"a failure is passed on when the other target has no answer", routeconf.KindIdempotent, 2, fail, lose, 500, 2},
+		{"a booking that was not run is refused if only one target may be tried", routeconf.KindOnce, 1, shed, serve, 503, 1},
+		{"a booking's error response is forwarded", routeconf.KindOnce, 2, fail, serve, 500, 1},
+		{"a lookup's error response is replaced by that of another target", routeconf.KindIdempotent, 2, fail, serve, 200, 2},
+		{"an error response is forwarded if the other target's response is lost", routeconf.KindIdempotent, 2, fail, lose, 500, 2},
 	} {
 		t.Run(tt.name, func(t *testing.T) {
-			s := newStage(t, routeconf.Route{Kind: tt.kind, MaxTargets: tt.most}, noMoves)
+			s := newFixture(t, routeconf.Route{Kind: tt.kind, MaxTargets: tt.most}, noCopies)
 			var arrivals atomic.Int32
 			h := func(w http.ResponseWriter, r *http.Request) {
 				do := tt.first
@@ -241,7 +244,7 @@
 					w.Header().Set("Not-Run", "1")
 					w.WriteHeader(http.StatusServiceUnavailable)
 				case fail:
-					http.Error(w, "seats are out", http.StatusInternalServerError)
+					http.Error(w, "internal error", http.StatusInternalServerError)
 				default:
 					fmt.Fprint(w, "booked")
 				}
@@ -259,7 +262,7 @@
 	}
 }
 
-// Requests that no target may see.
+// TestRefusals checks requests that must not reach any target.
 func TestRefusals(t *testing.T) {
 	for _, tt := range []struct {
 		name   string
@@ -273,8 +276,8 @@
 		{"headers too large", "/a/x", []string{"Other", strings.Repeat("x", 5<<10)}, http.StatusRequestHeaderFieldsTooLarge},
 	} {
 		t.Run(tt.name, func(t *testing.T) {
-			s := newStage(t, routeconf.Route{Kind: routeconf.KindOnce, MaxTargets: 1}, noMoves)
-			s.target("a", "z", func(http.ResponseWriter, *http.Request) { t.Error("a target saw the request") })
+			s := newFixture(t, routeconf.Route{Kind: routeconf.KindOnce, MaxTargets: 1}, noCopies)
+			s.target("a", "z", func(http.ResponseWriter, *http.Request) { t.Error("a target received the request") })
 			resp, _, err := s.ask(tt.path, tt.header...)
 			s.c.Assert(err, qt.IsNil)
 			s.c.Assert(resp.StatusCode, qt.Equals, tt.status)
@@ -282,10 +285,10 @@
 	}
 }
 
-// A target gets the request as the caller sent it, its customer's name, and not the
-// key.
+// TestTargetGetsTheRequestAsItIs checks that a target receives the request as the caller sent
+// it, with the customer's name and without the key.
 func TestTargetGetsTheRequestAsItIs(t *testing.T) {
-	s := newStage(t, routeconf.Route{Kind: routeconf.KindOnce, MaxTargets: 1}, noMoves)
+	s := newFixture(t, routeconf.Route{Kind: routeconf.KindOnce, MaxTargets: 1}, noCopies)
 	s.target("a", "z", func(w http.ResponseWriter, r *http.Request) {
 		body, _ := io.ReadAll(r.Body)
 		fmt.Fprint(w, r.Method, " ", r.RequestURI, " ", string(body), " ", r.Header.Get("Customer"), " ", r.Header.Get("Key"), " ", r.Header.Get("Target"), " ", r.Header.Get("Other"))
@@ -295,15 +298,15 @@
 	s.c.Assert(body, qt.Equals, "POST /a/%7Ex//y?z=%20&w a prompt cathedral  a o")
 }
 
-// The caller closes its connection while an engine works. The engine must be let go
-// at once, or it works for nobody.
+// TestEngineIsLetGoWhenTheCallerLeaves guards against an engine that continues to work on a
+// request after the caller has closed its connection.
 func TestEngineIsLetGoWhenTheCallerLeaves(t *testing.T) {
-	s := newStage(t, routeconf.Route{Kind: routeconf.KindStream, MaxTargets: 1}, noMoves)
+	s := newFixture(t, routeconf.Route{Kind: routeconf.KindStream, MaxTargets: 1}, noCopies)
 	released := make(chan struct{})
 	ctx, cancel := context.WithCancel(context.Background())
 	s.target("a", "z", func(w http.ResponseWriter, r *http.Request) {
 		_, _ = io.ReadAll(r.Body)
-		events(w, 1, 1)
+		writeEvents(w, 1, 1)
 		cancel()
 		<-r.Context().Done()
 		close(released)
@@ -319,11 +322,11 @@
 	<-released
 }
 
-// A process has just started: its configuration and the first target come a moment
-// after the first request. The request is held and served; refused, its caller
-// would come back later than that, or not at all.
+// TestRequestIsHeldWhileTheEntryStarts guards against refusing requests to a process that has
+// just started. The configuration and the first target arrive shortly after the request, which
+// has to wait for them: a refused caller would come back later than that, or not at all.
 func TestRequestIsHeldWhileTheEntryStarts(t *testing.T) {
-	s := newStage(t, routeconf.Route{Kind: routeconf.KindOnce, MaxTargets: 1}, noMoves)
+	s := newFixture(t, routeconf.Route{Kind: routeconf.KindOnce, MaxTargets: 1}, noCopies)
 	table := s.live.Swap(nil)
 	done := make(chan int, 1)
 	go func() {
@@ -340,10 +343,11 @@
 	s.c.Assert(<-done, qt.Equals, http.StatusOK)
 }
 
-// A body above the configuration's bound is refused before any target sees it.
+// TestBodyAboveItsBoundIsRefused checks that a body above the configured limit is refused
+// before any target receives it.
 func TestBodyAboveItsBoundIsRefused(t *testing.T) {
-	s := newStage(t, routeconf.Route{Kind: routeconf.KindOnce, MaxTargets: 1}, noMoves)
-	s.target("a", "z", func(http.ResponseWriter, *http.Request) { t.Error("a target saw the request") })
+	s := newFixture(t, routeconf.Route{Kind: routeconf.KindOnce, MaxTargets: 1}, noCopies)
+	s.target("a", "z", func(http.ResponseWriter, *http.Request) { t.Error("a target received the request") })
 	req, err := http.NewRequest(http.MethodPost, s.url+"/a/x", strings.NewReader(strings.Repeat("x", 2<<10)))
 	s.c.Assert(err, qt.IsNil)
 	req.Header.Set("Key", "k")
@@ -353,23 +357,23 @@
 	s.c.Assert(resp.StatusCode, qt.Equals, http.StatusRequestEntityTooLarge)
 }
 
-// A lookup's only target reads it and its answer is lost; no other target is there
-// to ask again. The caller must not be told that it has not run: it gets 502, which
-// promises nothing.
+// TestLookupThatMayHaveRunIsNotRefused guards against a refusal that promises the request has
+// not been run. The only target reads an idempotent request and its response is lost; with no
+// other target to try, the caller gets 502, which promises nothing.
 func TestLookupThatMayHaveRunIsNotRefused(t *testing.T) {
-	s := newStage(t, routeconf.Route{Kind: routeconf.KindIdempotent, MaxTargets: 2}, noMoves)
+	s := newFixture(t, routeconf.Route{Kind: routeconf.KindIdempotent, MaxTargets: 2}, noCopies)
 	s.target("a", "z", func(http.ResponseWriter, *http.Request) { panic(http.ErrAbortHandler) })
 	resp, _, err := s.ask("/a/x")
 	s.c.Assert(err, qt.IsNil)
 	s.c.Assert(resp.StatusCode, qt.Equals, http.StatusBadGateway)
 }
 
-// localPool grants retries as a control group of one member would.
+// localPool grants retries like a control group of one member.
 type localPool struct {
 	limits retrybudget.Limits
 	mu     sync.Mutex
 	pool   *retrybudget.Pool
-	// still stops the group's clock at now, a time in milliseconds.
+	// still makes the pool's clock stand still at now, in milliseconds.
 	still bool
 	now   int64
 }
--- a/node/relay/request.go
+++ b/node/relay/request.go
@@ -9,13 +9,13 @@
 	"almondseam.dev/core/routeconf"
 )
 
-// Request is one request of a caller on its way: what came, what was decided by the
-// configuration, and what became of it so far.
+// Request is a caller's request in progress: what was received, what was decided by the
+// configuration, and what has been done so far.
 type Request struct {
 	Ask      Ask
 	Arrived  time.Time
 	Deadline time.Time
-	// Stream tells how its stream goes, if it has one.
+	// Stream holds statistics of the request's event stream, if it has one.
 	Stream StreamStats
 
 	received
@@ -25,60 +25,63 @@
 
 // received is the request as the caller sent it.
 type received struct {
-	caller *http.Request
-	out    http.ResponseWriter
-	uri    string
-	body   []byte
+	httpRequest *http.Request
+	writer      http.ResponseWriter
+	uri         string
+	body        []byte
 }
 
-// decision is what the configuration, and what is known of earlier requests, says of
-// the request. It does not change any more.
+// decision is what was decided on admission, from the configuration and from earlier requests.
+// It does not change afterwards.
 type decision struct {
 	Route    *routeconf.Route
 	Service  api.ServiceID
 	Customer *routeconf.Customer
-	// Version is that of the configuration by which it was decided.
+	// Version is the version of the configuration that was used.
 	Version uint64
-	// tokens is the memory that it is expected to take at an engine.
+	// tokens is the KV cache, in tokens, that the request is expected to occupy at an engine.
 	tokens int
-	// length is the rank of its likely length among those of late, 0 to 1.
-	length float64
+	// costRank is the rank of the request's expected cost among the recent ones of its service,
+	// from 0 to 1.
+	costRank float64
 }
 
-// progress is what became of the request so far.
+// progress is what has been done for the request so far.
 type progress struct {
-	// asked are the targets that the request was meant for; sends counts those
-	// that may have read it.
-	asked []*Target
+	// tried holds the targets that were selected for the request; sends counts those that may
+	// have read it.
+	tried []*Target
 	sends int
-	// failure is a target's own failure that another target may do better than.
+	// failure is an error response of a target that another target may improve on.
 	failure *failure
-	// mayHaveRun is set once a target may have begun to work on it.
+	// mayHaveRun is set once a target may have begun to work on the request.
 	mayHaveRun bool
 }
 
-// StreamStats tell how a stream went, for metrics and logs.
+// StreamStats are statistics of one stream, for metrics and logs.
 type StreamStats struct {
 	// First is the time from the request's arrival to its first event.
 	First      time.Duration
 	LongestGap time.Duration
 	Events     int
-	// Migrations is how often the stream went on elsewhere.
+	// Migrations counts the attempts to continue the stream at another engine.
 	Migrations int
 }
 
-// began notes that a target may have begun to work on the request. A migration that outlives its
-// stream finds it noted already and writes nothing, as the stream's end may be reading it.
+// began records that a target may have begun to work on the request. It writes nothing if this
+// is recorded already: a migration that outlives its stream would otherwise race with the reads
+// at the end of the stream.
 func (req *Request) began() {
 	if !req.mayHaveRun {
 		req.mayHaveRun = true
 	}
 }
 
-// callerGone tells whether the caller has closed its connection.
-func (req *Request) callerGone() bool { return req.caller.Context().Err() != nil }
+// callerGone reports whether the caller has closed its connection.
+func (req *Request) callerGone() bool { return req.httpRequest.Context().Err() != nil }
 
-// headerBytes is the size of a request's headers as they came, but for spaces.
+// headerBytes returns the size of a request's header as received, apart from optional white
+// space.
 func headerBytes(h http.Header) int {
 	const separators = len(": \r\n")
 	n := 0
@@ -90,7 +93,7 @@
 	return n
 }
 
-// requestURI gives path and query as the caller sent them.
+// requestURI returns the path and query as the caller sent them.
 func requestURI(hr *http.Request) string {
 	if strings.HasPrefix(hr.RequestURI, "/") {
 		return hr.RequestURI
@@ -98,7 +101,8 @@
 	return hr.URL.RequestURI() // a request line in absolute form
 }
 
-// deadline is when the caller gives up, or the route's timeout if that is sooner.
+// deadline returns when the caller's patience or the route's timeout expires, whichever is
+// first.
 func deadline(req *Request) time.Time {
 	limit := req.Route.Timeout
 	if p := req.Ask.Patience; p > 0 && p < limit {
@@ -107,14 +111,14 @@
 	return req.Arrived.Add(limit)
 }
 
-// growthAhead is how far ahead a stream's growth is counted, in tokens: what an
-// engine makes for one stream in about two seconds. Most streams end long before
-// the most that they may make, and the caller's guess is often far off; counted to
-// their end, streams would fill engines that are half empty.
-const growthAhead = 256
+// growthWindow is how far ahead the growth of a stream is counted, in tokens: what an engine
+// generates for one stream in about two seconds. Most streams end long before their maximum
+// length, and the caller's estimate is often far off. If streams were counted at their full
+// length, engines that are half empty would look full.
+const growthWindow = 256
 
-// expectedTokens is the memory that a generation takes within the next seconds
-// once it has made so many tokens.
+// expectedTokens returns the KV cache, in tokens, that a generation occupies within the next
+// seconds once it has generated made tokens.
 func expectedTokens(a *Ask, made int) int {
-	return a.PromptTokens + made + min(growthAhead, max(a.MaxTokens-made, 0))
+	return a.PromptTokens + made + min(growthWindow, max(a.MaxTokens-made, 0))
 }
--- a/node/relay/retries.go
+++ b/node/relay/retries.go
@@ -13,31 +13,34 @@
 	"github.com/sourcegraph/conc"
 )
 
-// Grantor grants retries, and requests to targets that are cold or name a limit, out of the
-// budgets that all entries share. It is safe for concurrent use.
+// Grantor grants retries, and requests to targets that are cold or rate limited, from the
+// budgets that all relays share. It is safe for concurrent use.
 type Grantor interface {
-	// Retry asks for one grant, or returns one. An error means that no answer came
-	// before ctx ended.
+	// Retry requests one grant, or returns one. An error means that no answer arrived before
+	// ctx ended.
 	Retry(ctx context.Context, ask retrybudget.Ask) (retrybudget.Answer, error)
 }
 
 const (
-	// askWithin bounds the wait for a grant: an exchange with the group's leader and one
-	// of the leader with a majority, with some room for an election that ends.
-	askWithin = 300 * time.Millisecond
-	// refusedFor bounds how long a refusal of the group stands for all that ask here.
-	refusedFor = 100 * time.Millisecond
-	// returnWithin bounds the attempts to return a retry that was not sent.
-	returnWithin = retrybudget.LeaseTime
+	// grantTimeout bounds the wait for a grant: a round trip to the leader of the control group
+	// and one from the leader to a majority, with a margin for an election that is about to
+	// end.
+	grantTimeout = 300 * time.Millisecond
+	// maxRefusalTime bounds how long a refusal by the control group applies to all requests for
+	// a grant at this relay.
+	maxRefusalTime = 100 * time.Millisecond
+	// returnTimeout bounds the attempts to return a retry that was not used.
+	returnTimeout = retrybudget.LeaseTime
 )
 
-// Where a retry was paid from, as observers are told.
+// The budget from which a retry was paid, as reported to the observer.
 const (
-	paidOwn  = "own"  // by requests of this entry
-	paidPool = "pool" // by the budget that all entries share
+	paidOwn  = "own"  // the relay's own, earned by the requests that it sends
+	paidPool = "pool" // the pool that all relays share
 )
 
-// Retry is the right to send one request once more.
+// Retry is the right to send one request: either again, or to a target that is cold or rate
+// limited.
 type Retry struct {
 	ask   retrybudget.Ask
 	lease retrybudget.Lease
@@ -45,73 +48,73 @@
 	paid  string
 }
 
-// valid tells whether the retry may still be sent.
+// valid reports whether the retry may still be used.
 func (r *Retry) valid(now time.Time) bool { return r.paid == paidOwn || r.lease.Valid(now) }
 
-// RetryVerdict tells whether a retry was allowed, and why.
+// RetryVerdict reports whether a retry was allowed, and why.
 type RetryVerdict struct {
 	OK bool
-	// Paid is where it was paid from.
+	// Paid is the budget from which the retry was paid.
 	Paid string
-	// Reason says why it was not allowed: the budget was spent, or no control member
+	// Reason is why the retry was not allowed: the budget was exhausted, or no control member
 	// answered in time.
 	Reason api.Reason
-	// Own are the figures of this entry's part; Used and Allowed those of the shared one,
-	// as the group's leader knew them.
+	// Own holds the figures of this relay's own budget; Used and Allowed are those of the
+	// shared pool, as reported by the leader of the control group.
 	Own     retrybudget.Verdict
 	Used    int
 	Allowed float64
 	// Took is how long the decision took.
 	Took time.Duration
-	// RetryAfter tells when a grant becomes free, zero where that is unknown.
+	// RetryAfter is the time until a grant becomes free, zero if unknown.
 	RetryAfter time.Duration
 }
 
-// refusalKey names what a refusal of the group stands for.
+// refusalKey identifies the requests for a grant to which a refusal applies.
 type refusalKey struct {
 	service api.ServiceID
 	purpose retrybudget.Purpose
 }
 
-// refusal is a reason not to ask the group again before a time.
+// refusal is a reason not to ask the control group again before a given time.
 type refusal struct {
 	reason api.Reason
 	until  time.Time
 }
 
-// Retries holds this entry's budgets for retries, one a service, and asks the group for what
-// goes beyond them and for requests to targets that bear so many in all. It is safe for
-// concurrent use.
+// Retries holds this relay's own retry budgets, one for each service. It asks the control group
+// for retries beyond these, and for requests to targets that are cold or rate limited. It is
+// safe for concurrent use.
 type Retries struct {
 	limits  retrybudget.Limits
 	grantor Grantor
-	// run distinguishes the asks of this process from those of an earlier one.
-	run     string
-	seq     atomic.Uint64
-	returns conc.WaitGroup
+	// processID distinguishes the requests of this process from those of an earlier one.
+	processID string
+	seq       atomic.Uint64
+	returns   conc.WaitGroup
 
 	mu      sync.Mutex
 	own     map[api.ServiceID]*retrybudget.LocalBudget
 	refused map[refusalKey]refusal
 }
 
-// NewRetries makes the budgets.
+// NewRetries returns Retries with the given limits.
 func NewRetries(l retrybudget.Limits, g Grantor) *Retries {
 	return &Retries{
-		limits: l, grantor: g, run: strconv.FormatUint(rand.Uint64(), 36),
+		limits: l, grantor: g, processID: strconv.FormatUint(rand.Uint64(), 36),
 		own: make(map[api.ServiceID]*retrybudget.LocalBudget), refused: make(map[refusalKey]refusal),
 	}
 }
 
-// First counts a request's first send.
+// First counts the first send of a request, which earns budget for retries.
 func (r *Retries) First(s api.ServiceID, now time.Time) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.ownOf(s, now).First(now)
+	r.ownBudget(s, now).First(now)
 }
 
-// Take takes one retry: from this entry's own part, else from the shared one. It waits
-// for the group's answer for a while.
+// Take acquires one retry, from this relay's own budget or else from the shared pool. It waits
+// a limited time for the answer of the control group.
 func (r *Retries) Take(ctx context.Context, s api.ServiceID, p retrybudget.Purpose) (Retry, RetryVerdict) {
 	began := time.Now()
 	v := r.takeOwn(s, p, began)
@@ -122,24 +125,24 @@
 	now := time.Now()
 	switch v.Reason {
 	case api.ReasonControlUnavailable:
-		r.unanswered(refusalKey{s, p}, now)
+		r.recordNoAnswer(refusalKey{s, p}, now)
 	case api.ReasonRetryBudget:
-		r.refuse(refusalKey{s, p}, refusal{v.Reason, now.Add(min(v.RetryAfter, refusedFor))})
+		r.recordRefusal(refusalKey{s, p}, refusal{v.Reason, now.Add(min(v.RetryAfter, maxRefusalTime))})
 	}
 	return taken, v
 }
 
-// ForTarget takes the right to send one request to a target that bears so many a second from
-// all entries.
+// ForTarget acquires the right to send one request to a target that takes only rate requests
+// per second from all relays together.
 func (r *Retries) ForTarget(ctx context.Context, p retrybudget.Purpose, s api.ServiceID, t api.TargetID, rate float64) (Retry, RetryVerdict) {
 	ask := retrybudget.Ask{Service: s, Purpose: p, Target: t, Rate: rate}
 	return r.askGroup(ctx, ask, RetryVerdict{}, time.Now())
 }
 
-// askGroup asks the group for a grant, and waits for its answer for a while.
+// askGroup requests a grant from the control group and waits a limited time for the answer.
 func (r *Retries) askGroup(ctx context.Context, ask retrybudget.Ask, v RetryVerdict, began time.Time) (Retry, RetryVerdict) {
-	ask.ID = r.run + "-" + strconv.FormatUint(r.seq.Add(1), 36)
-	within, cancel := context.WithTimeout(ctx, askWithin)
+	ask.ID = r.processID + "-" + strconv.FormatUint(r.seq.Add(1), 36)
+	within, cancel := context.WithTimeout(ctx, grantTimeout)
 	defer cancel()
 	answer, err := r.grantor.Retry(within, ask)
 	now := time.Now()
@@ -158,12 +161,12 @@
 	return Retry{ask: ask, lease: lease, taken: began, paid: paidPool}, v
 }
 
-// takeOwn takes a retry from the entry's own part. Its verdict has a reason where the
-// group has just refused the same.
+// takeOwn takes a retry from the relay's own budget. If that is exhausted and the control group
+// has recently refused the same, the verdict has the reason of that refusal.
 func (r *Retries) takeOwn(s api.ServiceID, p retrybudget.Purpose, now time.Time) RetryVerdict {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	v := RetryVerdict{Own: r.ownOf(s, now).Take(now)}
+	v := RetryVerdict{Own: r.ownBudget(s, now).Take(now)}
 	switch {
 	case v.Own.OK:
 		v.OK, v.Paid = true, paidOwn
@@ -173,42 +176,42 @@
 	return v
 }
 
-func (r *Retries) refuse(k refusalKey, why refusal) {
+func (r *Retries) recordRefusal(k refusalKey, why refusal) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.refused[k] = why
 }
 
-// unanswered notes an ask without an answer. While the group has no leader, requests of
-// which the caller has nothing get their failure at once; a stream that would be lost
-// waits for the next leader.
-func (r *Retries) unanswered(k refusalKey, now time.Time) {
+// recordNoAnswer records that the control group did not answer. While it has no leader, a
+// request whose caller has received nothing yet then fails at once instead of waiting; a
+// stream, which would be lost, still waits for the next leader.
+func (r *Retries) recordNoAnswer(k refusalKey, now time.Time) {
 	if k.purpose == retrybudget.PurposeRetry {
-		r.refuse(k, refusal{api.ReasonControlUnavailable, now.Add(askWithin)})
+		r.recordRefusal(k, refusal{api.ReasonControlUnavailable, now.Add(grantTimeout)})
 	}
 }
 
-// GiveBack returns a retry that was not sent.
+// GiveBack returns a retry that was not used.
 func (r *Retries) GiveBack(t Retry) {
 	if t.paid == paidOwn {
 		r.mu.Lock()
 		defer r.mu.Unlock()
-		r.ownOf(t.ask.Service, t.taken).GiveBack(t.taken)
+		r.ownBudget(t.ask.Service, t.taken).GiveBack(t.taken)
 		return
 	}
 	t.ask.Return = true
 	r.returns.Go(func() {
-		ctx, cancel := context.WithTimeout(context.Background(), returnWithin)
+		ctx, cancel := context.WithTimeout(context.Background(), returnTimeout)
 		defer cancel()
-		// Unreturned it counts until its time is over, which harms no bound.
+		// A grant that is not returned counts until it expires, which violates no limit.
 		_, _ = r.grantor.Retry(ctx, t.ask)
 	})
 }
 
-// Wait returns once all returns have ended. No retry is given back any more.
+// Wait blocks until all returns have ended. GiveBack must not be called in the meantime.
 func (r *Retries) Wait() { r.returns.Wait() }
 
-func (r *Retries) ownOf(s api.ServiceID, now time.Time) *retrybudget.LocalBudget {
+func (r *Retries) ownBudget(s api.ServiceID, now time.Time) *retrybudget.LocalBudget {
 	o := r.own[s]
 	if o == nil {
 		o = retrybudget.NewLocalBudget(r.limits, now)
--- a/node/relay/retries_test.go
+++ b/node/relay/retries_test.go
@@ -12,15 +12,15 @@
 	qt "github.com/frankban/quicktest"
 )
 
-// scripted is a grantor that answers after a while as it is told.
-type scripted struct {
+// scriptedGrantor returns a fixed answer after a delay, and records the requests.
+type scriptedGrantor struct {
 	answer retrybudget.Answer
 	err    error
 	after  time.Duration
 	asks   []retrybudget.Ask
 }
 
-func (s *scripted) Retry(ctx context.Context, ask retrybudget.Ask) (retrybudget.Answer, error) {
+func (s *scriptedGrantor) Retry(ctx context.Context, ask retrybudget.Ask) (retrybudget.Answer, error) {
 	s.asks = append(s.asks, ask)
 	select {
 	case <-time.After(s.after):
@@ -32,21 +32,21 @@
 
 var someRetries = retrybudget.Limits{Ratio: 0.2, Window: 10 * time.Second}
 
-// Where a retry is paid from, and why it is denied.
+// TestRetryIsPaid checks from which budget a retry is paid, and why it is denied.
 func TestRetryIsPaid(t *testing.T) {
 	for _, tt := range []struct {
 		name    string
 		firsts  int
-		grantor scripted
+		grantor scriptedGrantor
 		paid    string
 		reason  api.Reason
 		asks    int
 	}{
-		{"by the entry's own requests", 10, scripted{}, paidOwn, "", 0},
-		{"by the shared budget", 9, scripted{answer: retrybudget.Answer{Granted: true}, after: 5 * time.Millisecond}, paidPool, "", 1},
-		{"the shared budget is spent", 0, scripted{answer: retrybudget.Answer{Reason: api.ReasonRetryBudget}}, "", api.ReasonRetryBudget, 1},
-		{"no member answers", 0, scripted{after: time.Hour}, "", api.ReasonControlUnavailable, 1},
-		{"no member is reached", 0, scripted{err: errors.New("no link")}, "", api.ReasonControlUnavailable, 1},
+		{"from the relay's own budget", 10, scriptedGrantor{}, paidOwn, "", 0},
+		{"from the shared pool", 9, scriptedGrantor{answer: retrybudget.Answer{Granted: true}, after: 5 * time.Millisecond}, paidPool, "", 1},
+		{"the shared pool is exhausted", 0, scriptedGrantor{answer: retrybudget.Answer{Reason: api.ReasonRetryBudget}}, "", api.ReasonRetryBudget, 1},
+		{"no member answers", 0, scriptedGrantor{after: time.Hour}, "", api.ReasonControlUnavailable, 1},
+		{"no member is reached", 0, scriptedGrantor{err: errors.New("no link")}, "", api.ReasonControlUnavailable, 1},
 	} {
 		t.Run(tt.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
@@ -60,7 +60,7 @@
 				c.Assert(v.Paid, qt.Equals, tt.paid)
 				c.Assert(v.Reason, qt.Equals, tt.reason)
 				c.Assert(tt.grantor.asks, qt.HasLen, tt.asks)
-				c.Assert(v.Took <= askWithin, qt.IsTrue)
+				c.Assert(v.Took <= grantTimeout, qt.IsTrue)
 				if v.OK {
 					c.Assert(taken.valid(time.Now()), qt.IsTrue)
 				}
@@ -69,12 +69,12 @@
 	}
 }
 
-// TestRefusalStandsForAWhile guards against a group that is asked by every request that
-// fails while nothing is left.
+// TestRefusalStandsForAWhile guards against asking the control group for every failed request
+// while the budget is exhausted.
 func TestRefusalStandsForAWhile(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := qt.New(t)
-		g := &scripted{answer: retrybudget.Answer{Reason: api.ReasonRetryBudget, RetryAfter: time.Hour}}
+		g := &scriptedGrantor{answer: retrybudget.Answer{Reason: api.ReasonRetryBudget, RetryAfter: time.Hour}}
 		r := NewRetries(someRetries, g)
 		take := func(p retrybudget.Purpose) { r.Take(context.Background(), service, p) }
 		for range 50 {
@@ -83,18 +83,18 @@
 		c.Assert(g.asks, qt.HasLen, 1)
 		take(retrybudget.PurposeResume)
 		c.Assert(g.asks, qt.HasLen, 2)
-		time.Sleep(refusedFor)
+		time.Sleep(maxRefusalTime)
 		take(retrybudget.PurposeRetry)
 		c.Assert(g.asks, qt.HasLen, 3)
 	})
 }
 
-// TestUnusedRetryIsReturned guards against a budget that is spent on runs that could not
-// be stopped after all.
+// TestUnusedRetryIsReturned guards against spending the budget on runs that then could not be
+// stopped.
 func TestUnusedRetryIsReturned(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := qt.New(t)
-		g := &scripted{answer: retrybudget.Answer{Granted: true}}
+		g := &scriptedGrantor{answer: retrybudget.Answer{Granted: true}}
 		r := NewRetries(someRetries, g)
 		taken, _ := r.Take(context.Background(), service, retrybudget.PurposeResume)
 		r.GiveBack(taken)
@@ -105,24 +105,25 @@
 	})
 }
 
-// TestLeaseOfAMoveEnds guards against a retry that is sent long after it was granted,
-// when the group counts it no more: the copy of a stopped run may take seconds.
+// TestLeaseOfAMoveEnds guards against using a retry long after it was granted, when the control
+// group no longer counts it. Copying a stopped run can take that long: several seconds.
 func TestLeaseOfAMoveEnds(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := qt.New(t)
-		r := NewRetries(someRetries, &scripted{answer: retrybudget.Answer{Granted: true}})
+		r := NewRetries(someRetries, &scriptedGrantor{answer: retrybudget.Answer{Granted: true}})
 		taken, _ := r.Take(context.Background(), service, retrybudget.PurposeResume)
 		time.Sleep(retrybudget.LeaseTime)
 		c.Assert(taken.valid(time.Now()), qt.IsFalse)
 	})
 }
 
-// TestFailuresDoNotWaitForALeader guards against requests that are each held for the time
-// of an ask while the control group has no leader. A stream that has begun asks again.
+// TestFailuresDoNotWaitForALeader guards against each failed request waiting for the full
+// timeout while the control group has no leader. The retry of a stream that has begun still
+// asks.
 func TestFailuresDoNotWaitForALeader(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := qt.New(t)
-		g := &scripted{after: time.Hour}
+		g := &scriptedGrantor{after: time.Hour}
 		r := NewRetries(someRetries, g)
 		for i := range 5 {
 			began := time.Now()
--- a/node/relay/room.go
+++ b/node/relay/room.go
@@ -9,79 +9,80 @@
 	"almondseam.dev/core/placement"
 )
 
-// reserved is the engine that a request goes to.
-type reserved struct {
+// reservedTarget is the engine that was selected for a request.
+type reservedTarget struct {
 	permit *permit
-	// reservation names the memory that the engine has set aside; empty for none.
+	// reservation is the ID of the engine's reservation, empty if there is none.
 	reservation string
 }
 
-// ErrNoRoom reports that an engine refused a reservation for want of capacity.
+// ErrNoRoom reports that an engine refused a reservation for lack of capacity.
 var ErrNoRoom = errors.New("the engine has no room")
 
 const (
-	// roomLook is the mean interval at which a waiting request looks for room, spread
-	// over half to one and a half times that, so that not all of them choose an engine
-	// that has just started before the first load reports arrive.
-	roomLook = 60 * time.Millisecond
-	// roomObjectives is how many times its objective a request waits for room at
-	// most. Callers give a stream up that has not begun after four times that.
-	roomObjectives = 3.4
-	// roomLeast is the wait where the operator gives no objective or a short one;
-	// callers wait two seconds in any case.
-	roomLeast = 1700 * time.Millisecond
-	// roomPatience is the part of a caller's patience that it may be held for: what is
-	// left is enough to come back and be served.
-	roomPatience = 0.5
-	// fullFor is how long an engine counts as full after it has refused a reservation:
-	// a stream ends there every second or so.
-	fullFor = 80 * time.Millisecond
-	// reserveWithin bounds the call that sets room aside: an exchange of some
-	// milliseconds, after which a stalled engine has cost its caller little.
-	reserveWithin = 300 * time.Millisecond
+	// roomPollInterval is the mean interval at which a waiting request looks for an engine with
+	// room. The actual intervals vary from 0.5 to 1.5 times the mean, so that the waiting
+	// requests do not all choose an engine that has just started before its first load reports
+	// arrive.
+	roomPollInterval = 60 * time.Millisecond
+	// roomWaitObjectives is the longest wait for room, as a multiple of the route's objective.
+	// Callers give up a stream that has not begun after four times the objective.
+	roomWaitObjectives = 3.4
+	// minRoomWait is the wait if the route has no objective or a short one. Callers wait at
+	// least two seconds in any case.
+	minRoomWait = 1700 * time.Millisecond
+	// roomPatienceShare is the fraction of the caller's patience that the wait may take: the
+	// rest suffices for the caller to retry and be served.
+	roomPatienceShare = 0.5
+	// fullTime is how long an engine counts as full after it has refused a reservation: a
+	// stream ends there about once a second.
+	fullTime = 80 * time.Millisecond
+	// reserveTimeout bounds a call that makes a reservation. The call normally takes some
+	// milliseconds; the bound keeps a stalled engine from delaying the caller much.
+	reserveTimeout = 300 * time.Millisecond
 )
 
-// reserveFor finds the engine for a stream, nil if there is none. Streams that do not
-// tell what they generate are placed by load alone.
-func (r *Relay) reserveFor(ctx context.Context, req *Request) *reserved {
+// reserveFor finds the engine for a stream, nil if there is none. Streams of routes that do not
+// state their token counts are placed by load alone.
+func (r *Relay) reserveFor(ctx context.Context, req *Request) *reservedTarget {
 	if req.Route.Generates {
 		return r.awaitReservation(ctx, req)
 	}
-	if p := r.placePermitted(ctx, req); p != nil {
-		return &reserved{permit: p}
+	if p := r.pickPermitted(ctx, req); p != nil {
+		return &reservedTarget{permit: p}
 	}
 	return nil
 }
 
-// awaitReservation finds an engine with room for a generation, and waits for one; nil if
-// there is none in time.
+// awaitReservation finds an engine with room for a generation, and waits for one if there is
+// none. It returns nil if there is still none when the wait ends.
 //
-// Entries learn of each other's choices some milliseconds late, and several choose the memory
-// that one stream has freed. A reservation at the engine grants it to one of them; the others
-// try elsewhere instead of waiting there.
-func (r *Relay) awaitReservation(ctx context.Context, req *Request) *reserved {
+// Relays learn of each other's choices some milliseconds late, so several of them may choose
+// the memory that one finished stream has freed. A reservation at the engine gives that memory
+// to one of them; the others try other engines instead of waiting there.
+func (r *Relay) awaitReservation(ctx context.Context, req *Request) *reservedTarget {
 	began := time.Now()
 	at := r.tryReserve(ctx, req)
 	if at != nil {
 		return at
 	}
-	limit := req.roomLimit()
+	limit := req.roomDeadline()
 	for at == nil && ctx.Err() == nil && time.Now().Before(limit) {
-		if r.place(req, req.Service, req.asked) == nil {
-			return nil // none could take it at all
+		if r.pickTarget(req, req.Service, req.tried) == nil {
+			return nil // no engine may be used at all
 		}
-		pause(ctx, time.Duration((0.5+rand.Float64())*float64(roomLook)))
+		sleep(ctx, time.Duration((0.5+rand.Float64())*float64(roomPollInterval)))
 		at = r.tryReserve(ctx, req)
 	}
 	r.obs.Held(req, time.Since(began))
 	return at
 }
 
-// roomLimit is until when the request waits for room.
-func (req *Request) roomLimit() time.Time {
-	wait := max(roomLeast, time.Duration(roomObjectives*float64(req.Route.Objective)))
+// roomDeadline returns the time until which the request waits for room.
+func (req *Request) roomDeadline() time.Time {
+	wait := max(minRoomWait, time.Duration(roomWaitObjectives*float64(req.Route.Objective)))
 	limit := req.Arrived.Add(wait)
-	last := req.Arrived.Add(time.Duration(roomPatience * float64(req.Deadline.Sub(req.Arrived))))
+	last := req.Arrived.Add(time.Duration(roomPatienceShare * float64(req.Deadline.Sub(req.Arrived))))
 	if last.Before(limit) {
 		return last
 	}
@@ -91,16 +92,16 @@
 // waiting describes the request to the placement.
 func (req *Request) waiting(now time.Time) placement.Waiting {
 	return placement.Waiting{
-		Rank: rank(req), Length: req.length, Prompt: req.Ask.PromptTokens,
+		Rank: rank(req), Length: req.costRank, Prompt: req.Ask.PromptTokens,
 		Left:         req.Arrived.Add(req.Route.Objective).Sub(now),
 		HasObjective: req.Route.Objective > 0,
 	}
 }
 
-// tryReserve asks engines that seem to have room, one after the other, until one
-// gives it.
-func (r *Relay) tryReserve(ctx context.Context, req *Request) *reserved {
-	for range maxLooks {
+// tryReserve tries engines that seem to have room, one after the other, until one makes a
+// reservation.
+func (r *Relay) tryReserve(ctx context.Context, req *Request) *reservedTarget {
+	for range maxTargetTries {
 		t := r.pickWithRoom(req)
 		if t == nil {
 			return nil
@@ -112,48 +113,49 @@
 	return nil
 }
 
-// reserveAt takes a permit for one engine and makes a reservation there; nil if either is
-// refused. The permit comes first: a reservation that is not used keeps room from others.
-func (r *Relay) reserveAt(ctx context.Context, req *Request, t *Target) *reserved {
+// reserveAt acquires a permit for one engine and makes a reservation there; it returns nil if
+// either is refused. The permit comes first, because an unused reservation keeps room from
+// other requests.
+func (r *Relay) reserveAt(ctx context.Context, req *Request, t *Target) *reservedTarget {
 	p, ok := r.permit(ctx, req, t)
 	if !ok {
 		return nil
 	}
 	e := r.engine(req.Service)
 	if e == nil || e.Reserves == 0 {
-		return &reserved{permit: p}
+		return &reservedTarget{permit: p}
 	}
-	t.hold(req.tokens, req.Ask.PromptTokens)
+	t.addRequest(req.tokens, req.Ask.PromptTokens)
 	defer func() {
-		t.read(req.Ask.PromptTokens)
-		t.release(req.tokens)
+		t.removeUnread(req.Ask.PromptTokens)
+		t.removeRequest(req.tokens)
 	}()
-	within, cancel := context.WithTimeout(ctx, reserveWithin)
+	within, cancel := context.WithTimeout(ctx, reserveTimeout)
 	defer cancel()
 	id, err := r.engines.Reserve(within, t.Address, req.tokens, e.Reserves)
 	if err == nil {
-		return &reserved{permit: p, reservation: id}
+		return &reservedTarget{permit: p, reservation: id}
 	}
-	r.giveBack(p)
+	r.releasePermit(p)
 	r.obs.NoRoom(req, t, err)
 	switch {
 	case errors.Is(err, ErrNoRoom):
-		t.fullTill.Store(time.Now().Add(fullFor).UnixNano())
+		t.fullUntil.Store(time.Now().Add(fullTime).UnixNano())
 	case ctx.Err() == nil:
-		t.failed(time.Now())
+		t.recordFailure(time.Now())
 	}
 	return nil
 }
 
-// pickWithRoom chooses an engine that seems to have room, nil if none has.
+// pickWithRoom selects an engine that seems to have room, nil if there is none.
 func (r *Relay) pickWithRoom(req *Request) *Target {
 	list := r.targets.Of(req.Service)
 	now := time.Now()
-	choice := placement.Pick(r.candidates(req, list, req.asked, now), placement.Need{
-		Zone:   r.set.Zone,
+	choice := placement.Pick(r.candidates(req, list, req.tried, now), placement.Need{
+		Zone:   r.settings.Zone,
 		Tokens: req.tokens,
-		Draws:  placement.DrawsFor(len(list), r.targets.Entries()),
-		Room:   placement.RoomFor(req.waiting(now), r.reading.of(req.Service)),
+		Draws:  placement.DrawsFor(len(list), r.targets.RelayCount()),
+		Room:   placement.RoomFor(req.waiting(now), r.prefill.rate(req.Service)),
 	}, rand.Float64)
 	if choice < 0 {
 		return nil
@@ -161,8 +163,8 @@
 	return list[choice]
 }
 
-// pause waits for a while, or until ctx ends.
-func pause(ctx context.Context, d time.Duration) {
+// sleep waits for a time, or until ctx ends.
+func sleep(ctx context.Context, d time.Duration) {
 	t := time.NewTimer(d)
 	defer t.Stop()
 	select {
--- a/node/relay/room_test.go
+++ b/node/relay/room_test.go
@@ -12,27 +12,27 @@
 	qt "github.com/frankban/quicktest"
 )
 
-// keeper sets room aside at the engines named, and at no others.
-type keeper struct {
-	mover
+// reservingEngines makes reservations only at the addresses in room.
+type reservingEngines struct {
+	copyFunc
 	mu    sync.Mutex
 	room  map[string]bool
 	asked []string
 }
 
 // Reserve implements Engines.
-func (k *keeper) Reserve(_ context.Context, at string, _ int, _ time.Duration) (string, error) {
+func (k *reservingEngines) Reserve(_ context.Context, at string, _ int, _ time.Duration) (string, error) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	k.asked = append(k.asked, at)
 	if !k.room[at] {
 		return "", ErrNoRoom
 	}
-	return "kept at " + at, nil
+	return "reserved at " + at, nil
 }
 
-// reserving changes the stage's configuration so that engines set room aside.
-func (s *stage) reserving() {
+// enableReservations changes the configuration so that engines make reservations.
+func (s *fixture) enableReservations() {
 	table := *s.live.Load()
 	c := table.Config
 	e := *c.Services[0].Engine
@@ -43,34 +43,35 @@
 	s.live.Store(next)
 }
 
-// Two entries take the same room in the same instant. The engine gives it to one; the
-// other's request must not wait there behind it, but goes to an engine that sets
-// room aside for it, and says so in its request.
+// TestRequestGoesWhereRoomIsSetAside guards against a request that waits at a full engine. Two
+// relays may choose the same free memory at the same time; the engine reserves it for one of
+// them, and the other's request has to go to another engine, with that engine's reservation in
+// its header.
 func TestRequestGoesWhereRoomIsSetAside(t *testing.T) {
-	k := &keeper{mover: noMoves, room: map[string]bool{}}
-	s := newStage(t, routeconf.Route{Kind: routeconf.KindStream, MaxTargets: 1, Generates: true}, k)
-	s.reserving()
-	s.target("a", "z", func(http.ResponseWriter, *http.Request) { t.Error("the full engine got the request") })
+	engines := &reservingEngines{copyFunc: noCopies, room: map[string]bool{}}
+	s := newFixture(t, routeconf.Route{Kind: routeconf.KindStream, MaxTargets: 1, Generates: true}, engines)
+	s.enableReservations()
+	s.target("a", "z", func(http.ResponseWriter, *http.Request) { t.Error("the full engine received the request") })
 	got := make(chan string, 1)
 	b := s.target("b", "far", func(w http.ResponseWriter, r *http.Request) {
 		got <- r.Header.Get("Reservation")
-		events(w, 1, 1)
+		writeEvents(w, 1, 1)
 	})
-	k.room[b.Address] = true
+	engines.room[b.Address] = true
 	_, _, err := s.ask("/a/x")
 	s.c.Assert(err, qt.IsNil)
-	s.c.Assert(<-got, qt.Equals, "kept at "+b.Address)
-	s.c.Assert(len(k.asked) >= 1, qt.IsTrue)
+	s.c.Assert(<-got, qt.Equals, "reserved at "+b.Address)
+	s.c.Assert(len(engines.asked) >= 1, qt.IsTrue)
 }
 
-// No engine has room for as long as the caller would wait. The request is refused
-// with the time to come back, while its caller is still there to hear it, and no
-// engine sees it.
+// TestRequestWithoutRoomIsRefused checks that a request is refused if no engine has room for as
+// long as the caller would wait: with a Retry-After value, before the caller gives up, and
+// without reaching an engine.
 func TestRequestWithoutRoomIsRefused(t *testing.T) {
-	k := &keeper{mover: noMoves}
-	s := newStage(t, routeconf.Route{Kind: routeconf.KindStream, MaxTargets: 1, Generates: true}, k)
-	s.reserving()
-	s.target("a", "z", func(http.ResponseWriter, *http.Request) { t.Error("the full engine got the request") })
+	k := &reservingEngines{copyFunc: noCopies}
+	s := newFixture(t, routeconf.Route{Kind: routeconf.KindStream, MaxTargets: 1, Generates: true}, k)
+	s.enableReservations()
+	s.target("a", "z", func(http.ResponseWriter, *http.Request) { t.Error("the full engine received the request") })
 	req, err := http.NewRequest(http.MethodGet, s.url+"/a/x", nil)
 	s.c.Assert(err, qt.IsNil)
 	req.Header.Set("Key", "k")
@@ -83,14 +84,14 @@
 	s.c.Assert(after >= retryRoom.Seconds(), qt.IsTrue)
 }
 
-// A caller's guess is compared with those of late: by it the shortest find room
-// first. Without a guess a request stands in the middle.
+// TestLengthsAreRanked checks that costs are ranked among the recent ones, by which the
+// cheapest requests get room first. A request of unknown cost is ranked in the middle.
 func TestLengthsAreRanked(t *testing.T) {
 	c := qt.New(t)
-	l := newLengths()
+	l := newCostRanks()
 	c.Assert(l.rank(service, 0), qt.Equals, 0.5)
 	c.Assert(l.rank(service, 10), qt.Equals, 0.5)
-	for range 4 * lengthsKept {
+	for range 4 * maxRecentCosts {
 		l.rank(service, 100)
 	}
 	c.Assert(l.rank(service, 1) < 0.05, qt.IsTrue)
@@ -98,17 +99,17 @@
 	c.Assert(l.rank("other", 1), qt.Equals, 0.5)
 }
 
-// All engines are full. A generation waits at the entry until one has room, rather
-// than push out a stream that runs there.
+// TestGenerationWaitsForMemory checks that a generation waits at the relay while all engines
+// are full, instead of preempting a running stream.
 func TestGenerationWaitsForMemory(t *testing.T) {
-	s := newStage(t, routeconf.Route{Kind: routeconf.KindStream, MaxTargets: 1, Generates: true}, noMoves)
+	s := newFixture(t, routeconf.Route{Kind: routeconf.KindStream, MaxTargets: 1, Generates: true}, noCopies)
 	arrived := make(chan struct{}, 1)
 	s.target("a", "z", func(w http.ResponseWriter, _ *http.Request) {
 		arrived <- struct{}{}
-		events(w, 1, 1)
+		writeEvents(w, 1, 1)
 	})
 	full := s.targets.Of(service)[0]
-	full.hold(2<<20, 0)
+	full.addRequest(2<<20, 0)
 	done := make(chan error, 1)
 	go func() {
 		_, _, err := s.ask("/a/x")
@@ -116,10 +117,10 @@
 	}()
 	select {
 	case <-arrived:
-		t.Fatal("the request went to a full engine at once")
-	case <-time.After(3 * roomLook):
+		t.Fatal("the request was sent to a full engine")
+	case <-time.After(3 * roomPollInterval):
 	}
-	full.release(2 << 20)
+	full.removeRequest(2 << 20)
 	<-arrived
 	s.c.Assert(<-done, qt.IsNil)
 }
--- a/node/relay/send.go
+++ b/node/relay/send.go
@@ -10,26 +10,27 @@
 	"almondseam.dev/node/upstream"
 )
 
-// What one send of a request came to, as observers are told.
+// Outcomes of one send of a request, as reported to the observer.
 const (
-	// Answered is told to observers of a whole answer too.
+	// Answered is also reported as the outcome of a request that was answered.
 	Answered       = "answered"
-	outcomeNotSent = "not_sent" // the target has read nothing of it
-	// outcomeHeldBack: nothing was sent, as others are granted all that the target bears.
-	outcomeHeldBack = "held_back"
-	outcomeNotRun   = "not_run"   // the target states that it did not run it
-	outcomeElse     = "elsewhere" // another target has the address
-	outcomeLost     = "lost"      // it may have run
-	outcomeNoMove   = "no_move"   // the run could not be moved there
-	outcomeFailed   = "failed"    // the target answered with a failure of its own
+	outcomeNotSent = "not_sent" // the target has read nothing of the request
+	// outcomeHeldBack: nothing was sent, because the control group granted no request to the
+	// target.
+	outcomeHeldBack    = "held_back"
+	outcomeNotRun      = "not_run"   // the target states that it did not run the request
+	outcomeWrongTarget = "elsewhere" // another target has the address
+	outcomeLost        = "lost"      // the response was lost, and the request may have been run
+	outcomeNoMove      = "no_move"   // the run could not be moved there
+	outcomeFailed      = "failed"    // the target answered with an error of its own
 )
 
-// send sends the request once, by a permit, and classifies what came back. Only with
-// Answered there is an exchange, which the caller closes.
+// send sends the request once, under a permit, and classifies the result. It returns an
+// exchange, which the caller of send must close, only if the outcome is Answered.
 func (r *Relay) send(ctx context.Context, req *Request, p *permit, d Directive, why string) (*upstream.Exchange, string) {
 	t := p.target
 	if t.evacuated() {
-		r.giveBack(p)
+		r.releasePermit(p)
 		r.obs.Attempted(req, t, outcomeNotSent, errEvacuated)
 		return nil, outcomeNotSent
 	}
@@ -45,19 +46,19 @@
 	d.Remaining = time.Until(req.Deadline)
 	d.Urgency = urgency(req)
 	r.obs.Sent(req, t, why)
-	began := t.sendBegins()
+	start := t.newSendStart()
 	x, err := r.pool.Do(ctx, t.Address, &upstream.Request{
-		Method: req.caller.Method,
+		Method: req.httpRequest.Method,
 		URI:    req.uri,
-		Host:   req.caller.Host,
+		Host:   req.httpRequest.Host,
 		Header: r.upstreamHeader(req, d),
 		Body:   req.body,
-		Mine:   func(h http.Header) bool { return r.mine(req, h) },
+		Mine:   func(h http.Header) bool { return r.ownsResponse(req, h) },
 
-		KeepMost: r.keepMost(t),
+		KeepMost: r.maxIdleConns(t),
 	})
-	outcome := r.judge(ctx, req, t, x, began, err)
-	if outcome != outcomeNotSent && outcome != outcomeElse {
+	outcome := r.classify(ctx, req, t, x, start, err)
+	if outcome != outcomeNotSent && outcome != outcomeWrongTarget {
 		req.sends++
 	}
 	r.obs.Attempted(req, t, outcome, err)
@@ -68,30 +69,31 @@
 	return x, outcome
 }
 
-// keptShare is the part of the connections that a target accepts which all entries together
-// keep idle; the rest is for requests at a peak.
-const keptShare = 0.5
+// idleConnShare is the fraction of the connections accepted by a target that all relays
+// together keep idle; the rest is left for peaks.
+const idleConnShare = 0.5
 
-// keepMost is how many idle connections to a target this entry may keep.
-func (r *Relay) keepMost(t *Target) int {
+// maxIdleConns returns how many idle connections to a target this relay may keep.
+func (r *Relay) maxIdleConns(t *Target) int {
 	accepts := r.service(t.Service).Connections
 	if accepts <= 0 {
 		return upstream.MaxIdlePerTarget
 	}
-	return max(int(keptShare*float64(accepts))/r.targets.Entries(), 1)
+	return max(int(idleConnShare*float64(accepts))/r.targets.RelayCount(), 1)
 }
 
-// mine tells whether an answer belongs to the request: targets echo its ID.
-func (r *Relay) mine(req *Request, h http.Header) bool {
+// ownsResponse reports whether a response belongs to the request: targets echo the request ID.
+func (r *Relay) ownsResponse(req *Request, h http.Header) bool {
 	got := r.dialect.Reply(http.StatusOK, h).Request
 	return got == "" || got == req.Ask.Request
 }
 
-// judge classifies what came of a send.
-func (r *Relay) judge(ctx context.Context, req *Request, t *Target, x *upstream.Exchange, began sendBegan, err error) string {
+// classify determines the outcome of a send, and updates the target and the request
+// accordingly.
+func (r *Relay) classify(ctx context.Context, req *Request, t *Target, x *upstream.Exchange, began sendStart, err error) string {
 	if err != nil {
 		if ctx.Err() == nil {
-			t.failed(time.Now())
+			t.recordFailure(time.Now())
 		}
 		if errors.Is(err, upstream.ErrNotSent) {
 			return outcomeNotSent
@@ -101,31 +103,32 @@
 	}
 	reply := r.dialect.Reply(x.Status, x.Header)
 	if reply.WrongTarget {
-		// The address belongs to another target now; the one that was meant is gone.
+		// Another target has the address now, so the selected one is gone.
 		t.drain()
-		return outcomeElse
+		return outcomeWrongTarget
 	}
-	r.learnLimit(req, t, reply, began)
+	r.updateLimit(req, t, reply, began)
 	if reply.NotRun {
 		return outcomeNotRun
 	}
 	req.began()
-	t.served()
+	t.recordSuccess()
 	return Answered
 }
 
-// usualUrgency is the urgency of all generations at their engines.
+// generationUrgency is the urgency of all generations at their engines.
 //
-// A more urgent request takes its memory from a running stream, whose prompt is then read again.
-// Ranks count where nothing is taken away: in which order requests find room from the entry.
-const usualUrgency = 5
+// An engine takes the memory for a more urgent request from a running stream, whose prompt must
+// then be processed again. So ranks have an effect only where nothing is preempted: in the
+// order in which waiting requests get room from the relay.
+const generationUrgency = 5
 
-// urgency gives the engine's order of a request; below zero says none.
+// urgency returns the request's urgency at the engine, negative if it is not sent.
 func urgency(req *Request) int {
 	if !req.Route.Generates {
 		return -1
 	}
-	return usualUrgency
+	return generationUrgency
 }
 
 func rank(req *Request) int {
@@ -135,11 +138,11 @@
 	return req.Route.Rank
 }
 
-// mayGoOn tells whether the request may be sent to one more target after an
-// outcome: never when it may have run and must not run twice.
-func (r *Relay) mayGoOn(req *Request, outcome string) bool {
-	if outcome == outcomeNotSent || outcome == outcomeElse || outcome == outcomeHeldBack {
-		return len(req.asked) < maxLooks
+// mayTryAnother reports whether the request may be sent to another target after an outcome:
+// never if it may have been run and must not be run twice.
+func (r *Relay) mayTryAnother(req *Request, outcome string) bool {
+	if outcome == outcomeNotSent || outcome == outcomeWrongTarget || outcome == outcomeHeldBack {
+		return len(req.tried) < maxTargetTries
 	}
 	if req.sends >= req.Route.MaxTargets {
 		return false
@@ -147,11 +150,11 @@
 	return !req.mayHaveRun || req.Route.Repeatable()
 }
 
-// maxLooks bounds how many targets are tried that turn out to be unreachable.
-const maxLooks = 6
+// maxTargetTries bounds how many targets are tried for a request while none has read it.
+const maxTargetTries = 6
 
-// retry takes one retry from the budget; why is what it is for.
-func (r *Relay) retry(ctx context.Context, req *Request, p retrybudget.Purpose, why string) (Retry, bool) {
+// acquireRetry acquires one retry from the budget; why is the reason for the send.
+func (r *Relay) acquireRetry(ctx context.Context, req *Request, p retrybudget.Purpose, why string) (Retry, bool) {
 	taken, v := r.retries.Take(ctx, req.Service, p)
 	if v.OK {
 		r.obs.RetryGranted(req, why, v)
@@ -161,15 +164,15 @@
 	return taken, v.OK
 }
 
-// mayRetry takes one retry for a request of which its caller has nothing yet. None is
-// needed where no target was sent anything.
-func (r *Relay) mayRetry(ctx context.Context, req *Request, why string) bool {
+// acquireResend acquires one retry for a request whose caller has received nothing yet. After
+// outcomeHeldBack none is needed, because nothing was sent.
+func (r *Relay) acquireResend(ctx context.Context, req *Request, why string) bool {
 	if why == outcomeHeldBack {
 		return true
 	}
-	_, ok := r.retry(ctx, req, retrybudget.PurposeRetry, why)
+	_, ok := r.acquireRetry(ctx, req, retrybudget.PurposeRetry, why)
 	return ok
 }
 
-// firstSend counts a request towards the budget.
-func (r *Relay) firstSend(req *Request) { r.retries.First(req.Service, time.Now()) }
+// countFirstSend counts a request towards the retry budget.
+func (r *Relay) countFirstSend(req *Request) { r.retries.First(req.Service, time.Now()) }
--- a/node/relay/standby.go
+++ b/node/relay/standby.go
@@ -9,22 +9,24 @@
 	"almondseam.dev/core/routeconf"
 )
 
-// longStream is from how many tokens on a stream's memory may be copied to a second
-// engine as it grows. A shorter one is over before its engine's notice runs out.
-const longStream = 100
+// minStandbyTokens is the maximum output length, in tokens, from which on a stream's KV cache
+// is copied to a standby as it grows. A shorter stream ends before its engine's drain notice
+// does.
+const minStandbyTokens = 100
 
 func (s *streamRun) engine() *routeconf.Engine { return s.relay.engine(s.req.Service) }
 
-// canMove tells whether the stream's engines copy runs on demand.
+// canMove reports whether the stream's engines copy runs on demand.
 func (s *streamRun) canMove() bool {
 	e := s.engine()
 	return e != nil && e.Moves
 }
 
-// standbyFor chooses the engine that gets a copy of the run's memory, nil for none.
+// standbyFor selects the engine that receives a copy of the run's KV cache, nil if there is
+// none.
 func (s *streamRun) standbyFor(t *Target) *Target {
 	e := s.engine()
-	if e == nil || !e.Backups || s.req.Ask.MaxTokens < longStream {
+	if e == nil || !e.Backups || s.req.Ask.MaxTokens < minStandbyTokens {
 		return nil
 	}
 	list := s.relay.targets.Of(s.req.Service)
--- a/node/relay/stream.go
+++ b/node/relay/stream.go
@@ -15,55 +15,57 @@
 	"almondseam.dev/core/retrybudget"
 )
 
-// streamRun is one stream on its way from engine to engine to its caller. One
-// goroutine reads and gives events; while its engine drains, a second one prepares
-// the next leg.
+// streamRun forwards one stream to its caller, from one engine after the other. One goroutine
+// reads and forwards events; while the engine drains, a second one prepares the next leg.
 type streamRun struct {
 	relay *Relay
 	req   *Request
 	ctx   context.Context
 	flush func() error
 
-	// expected is read by the migration, too.
-	expected atomic.Int64
-	// began tells that the caller has the answer's head.
-	began bool
-	// passed tells that an answer that is no stream was passed on.
-	passed bool
-	// pausedAt is when the last event went out.
-	pausedAt time.Time
+	// tokenEstimate is the KV cache that the stream is expected to occupy, in tokens. The
+	// migration's goroutine reads it too.
+	tokenEstimate atomic.Int64
+	// headerSent is set once the caller has been sent the response's header.
+	headerSent bool
+	// passedThrough is set if the engine's response was not an event stream and was forwarded.
+	passedThrough bool
+	// lastEventAt is when the last event was forwarded; before the first one, when the request
+	// arrived.
+	lastEventAt time.Time
 
-	mu     sync.Mutex
-	lastID string
+	mu          sync.Mutex
+	lastEventID string
 }
 
-// stream serves a request whose answer is a series of events.
+// stream serves a request whose response is a stream of events.
 func (r *Relay) stream(ctx context.Context, req *Request) {
-	r.firstSend(req)
-	s := &streamRun{relay: r, req: req, ctx: ctx, lastID: req.Ask.LastEvent, pausedAt: req.Arrived}
-	s.flush = http.NewResponseController(req.out).Flush
-	s.expected.Store(int64(req.tokens))
+	r.countFirstSend(req)
+	s := &streamRun{relay: r, req: req, ctx: ctx, lastEventID: req.Ask.LastEvent, lastEventAt: req.Arrived}
+	s.flush = http.NewResponseController(req.writer).Flush
+	s.tokenEstimate.Store(int64(req.tokens))
 	s.run()
 }
 
 func (s *streamRun) run() {
-	l, outcome := s.first()
+	l, outcome := s.startFirstLeg()
 	for l != nil {
-		end := s.follow(l)
+		end := s.forwardEvents(l)
 		l.end()
 		if end == nil {
-			s.forget(l)
+			s.cancelMigration(l)
 			s.finish(l)
 			return
 		}
-		l = s.next(l, end)
+		l = s.nextLeg(l, end)
 		outcome = outcomeLost
 	}
-	s.noMore(outcome)
+	s.failStream(outcome)
 }
 
-// first finds the engine that the stream begins at.
-func (s *streamRun) first() (*leg, string) {
+// startFirstLeg selects engines until one serves the stream. It returns nil if none does, and
+// the outcome of the last send.
+func (s *streamRun) startFirstLeg() (*leg, string) {
 	why := "first"
 	outcome := outcomeNotRun
 	for {
@@ -71,9 +73,9 @@
 		if at == nil {
 			return nil, outcome
 		}
-		s.req.asked = append(s.req.asked, at.permit.target)
+		s.req.tried = append(s.req.tried, at.permit.target)
 		var l *leg
-		l, outcome = s.begin(s.ctx, at.permit, Directive{LastEvent: s.last(), Reservation: at.reservation}, why)
+		l, outcome = s.startLeg(s.ctx, at.permit, Directive{LastEvent: s.lastEvent(), Reservation: at.reservation}, why)
 		if outcome == Answered {
 			return l, outcome
 		}
@@ -81,22 +83,22 @@
 			return nil, outcome
 		}
 		if outcome == outcomeLost && l.standby != nil {
-			return s.next(l, errNoHead), outcome
+			return s.nextLeg(l, errNoHeader), outcome
 		}
-		if !s.relay.mayGoOn(s.req, outcome) || !s.relay.mayRetry(s.ctx, s.req, outcome) {
+		if !s.relay.mayTryAnother(s.req, outcome) || !s.relay.acquireResend(s.ctx, s.req, outcome) {
 			return nil, outcome
 		}
 		why = outcome
 	}
 }
 
-// errNoHead is an answer that was lost before its head.
-var errNoHead = errors.New("the answer was lost before its head")
+// errNoHeader reports a response that was lost before its header arrived.
+var errNoHeader = errors.New("response was lost before its header arrived")
 
-// follow passes events on until the stream ends, nil if it ended whole.
-func (s *streamRun) follow(l *leg) error {
+// forwardEvents forwards events until the leg ends. It returns nil if the stream is complete.
+func (s *streamRun) forwardEvents(l *leg) error {
 	if !l.isStream() {
-		return s.passOn(l)
+		return s.passThrough(l)
 	}
 	events := newEventReader(l.x.Body)
 	for {
@@ -107,12 +109,12 @@
 		if err != nil {
 			return err
 		}
-		s.relay.reading.learn(s.req.Service, l.begun)
-		if err := s.give(l, ev); err != nil {
+		s.relay.prefill.record(s.req.Service, l.finishPrefill)
+		if err := s.forward(l, ev); err != nil {
 			return err
 		}
-		if s.req.Stream.Events%growEvery == 0 {
-			s.grow(l)
+		if s.req.Stream.Events%recountEvents == 0 {
+			s.updateTokens(l)
 		}
 		if l.migration == nil && l.target.draining.Load() {
 			s.startMigration(l)
@@ -120,21 +122,22 @@
 	}
 }
 
-// growEvery is after how many events a stream's memory is counted anew.
-const growEvery = 32
+// recountEvents is the number of events after which the KV cache of a stream is estimated
+// again.
+const recountEvents = 32
 
-func (s *streamRun) grow(l *leg) {
+func (s *streamRun) updateTokens(l *leg) {
 	e := s.engine()
 	if e == nil {
 		return
 	}
 	tokens := expectedTokens(&s.req.Ask, s.req.Stream.Events*e.TokensPerEvent)
-	s.expected.Store(int64(tokens))
-	l.grow(tokens)
+	s.tokenEstimate.Store(int64(tokens))
+	l.updateTokens(tokens)
 }
 
-// tokens is the memory that the stream takes within the next seconds.
-func (s *streamRun) tokens() int { return int(s.expected.Load()) }
+// tokens returns the KV cache, in tokens, that the stream occupies within the next seconds.
+func (s *streamRun) tokens() int { return int(s.tokenEstimate.Load()) }
 
 func (s *streamRun) situation(l *leg, cause handoff.Cause) handoff.Situation {
 	return handoff.Situation{
@@ -148,8 +151,8 @@
 	}
 }
 
-// hasStandby tells whether the run may be continued from its standby copy. An engine that
-// drains still holds one; it is asked only where the run is lost otherwise.
+// hasStandby reports whether the run may be continued from its standby copy. A draining engine
+// still holds its copy, but is used only if the run would otherwise be lost.
 func (s *streamRun) hasStandby(l *leg, cause handoff.Cause) bool {
 	if l.standby == nil || l.standby.evacuated() {
 		return false
@@ -157,64 +160,65 @@
 	return cause == handoff.CauseLost || !l.standby.draining.Load()
 }
 
-// give passes one event on, unless the caller has it.
+// forward sends one event to the caller, unless the caller already has it.
 //
-// Events are numbered without gaps. An engine that goes on after the last one gives it again;
-// whatever is not above the last one given is a repetition.
-func (s *streamRun) give(l *leg, ev event) error {
-	if s.req.Stream.Migrations > 0 && !after(ev.id, s.lastID) {
+// Events are numbered without gaps. An engine that continues after the last event may repeat
+// it, so after a migration every event whose number is not above that of the last forwarded one
+// is a repetition.
+func (s *streamRun) forward(l *leg, ev event) error {
+	if s.req.Stream.Migrations > 0 && !isAfter(ev.id, s.lastEventID) {
 		return nil
 	}
-	s.observe()
-	s.begun(l)
-	if _, err := s.req.out.Write(ev.raw); err != nil {
+	s.recordEvent()
+	s.sendHeader(l)
+	if _, err := s.req.writer.Write(ev.raw); err != nil {
 		return err
 	}
 	if len(ev.id) > 0 {
-		s.setLast(string(ev.id))
+		s.setLastEvent(string(ev.id))
 	}
 	return s.flush()
 }
 
-// begun gives the caller the head of the answer, that of the first engine, unless it has it.
-func (s *streamRun) begun(l *leg) {
-	if s.began {
+// sendHeader sends the caller the header of the engine's response, unless one was sent before.
+func (s *streamRun) sendHeader(l *leg) {
+	if s.headerSent {
 		return
 	}
-	copyAnswerHead(s.req.out.Header(), l.x.Header)
-	s.req.out.WriteHeader(l.x.Status)
-	s.began = true
+	copyResponseHeader(s.req.writer.Header(), l.x.Header)
+	s.req.writer.WriteHeader(l.x.Status)
+	s.headerSent = true
 }
 
-func (s *streamRun) setLast(id string) {
+func (s *streamRun) setLastEvent(id string) {
 	s.mu.Lock()
-	s.lastID = id
+	s.lastEventID = id
 	s.mu.Unlock()
 }
 
-// last gives the last event that the caller has.
-func (s *streamRun) last() string {
+// lastEvent returns the ID of the last event that the caller has.
+func (s *streamRun) lastEvent() string {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.lastID
+	return s.lastEventID
 }
 
-// observe notes the time of an event, for the log.
-func (s *streamRun) observe() {
+// recordEvent updates the stream's statistics for an event.
+func (s *streamRun) recordEvent() {
 	now := time.Now()
 	st := &s.req.Stream
 	if st.Events == 0 {
 		st.First = now.Sub(s.req.Arrived)
 	} else {
-		st.LongestGap = max(st.LongestGap, now.Sub(s.pausedAt))
+		st.LongestGap = max(st.LongestGap, now.Sub(s.lastEventAt))
 	}
 	st.Events++
-	s.pausedAt = now
+	s.lastEventAt = now
 }
 
-// after tells whether an event's number is above the last one's. Events without
-// numbers can't be told apart and are passed on.
-func after(id []byte, last string) bool {
+// isAfter reports whether an event's number is above that of the last one. It returns true if
+// one of them is not a number, because repetitions cannot be recognized then.
+func isAfter(id []byte, last string) bool {
 	n, err := strconv.ParseUint(string(id), 10, 64)
 	if err != nil {
 		return true
@@ -223,123 +227,124 @@
 	return err != nil || n > given
 }
 
-// passOn gives the caller an engine's answer that is no stream.
-func (s *streamRun) passOn(l *leg) error {
-	if s.began {
-		return errors.New("engine answered " + strconv.Itoa(l.x.Status) + " to a stream that is continued")
+// passThrough forwards an engine's response that is not an event stream.
+func (s *streamRun) passThrough(l *leg) error {
+	if s.headerSent {
+		return errors.New("engine answered " + strconv.Itoa(l.x.Status) + " to a request that continues a stream")
 	}
-	body, whole, err := readUpTo(l.x.Body, maxWhole)
+	body, whole, err := readUpTo(l.x.Body, maxBufferedResponse)
 	if err != nil {
 		return err
 	}
-	s.relay.answer(s.req, l.x, body, whole)
-	s.passed = true
+	s.relay.writeResponse(s.req, l.x, body, whole)
+	s.passedThrough = true
 	return nil
 }
 
-// next finds the leg that continues the stream after one has ended early.
-func (s *streamRun) next(l *leg, end error) *leg {
+// nextLeg returns the leg that continues the stream after a leg has ended early, nil if there
+// is none.
+func (s *streamRun) nextLeg(l *leg, end error) *leg {
 	if s.ctx.Err() != nil {
-		s.forget(l)
+		s.cancelMigration(l)
 		return nil
 	}
-	if next := s.migrated(l); next != nil || s.ctx.Err() != nil {
-		return next
+	if nextLeg := s.awaitMigration(l); nextLeg != nil || s.ctx.Err() != nil {
+		return nextLeg
 	}
-	l.target.failed(time.Now())
+	l.target.recordFailure(time.Now())
 	s.relay.obs.Attempted(s.req, l.target, outcomeLost, end)
 	cause := handoff.CauseLost
 	for {
 		s.req.Stream.Migrations++
 		switch handoff.Next(s.situation(l, cause)) {
 		case handoff.ActionFromStandby:
-			if next := s.fromStandby(l); next != nil || s.ctx.Err() != nil {
-				return next
+			if nextLeg := s.resumeFromStandby(l); nextLeg != nil || s.ctx.Err() != nil {
+				return nextLeg
 			}
 			cause = handoff.CauseNoStandby
 		case handoff.ActionRestart:
-			return s.again(l)
+			return s.restart(l)
 		default:
 			return nil
 		}
 	}
 }
 
-// fromStandby continues the run at the engine that keeps its standby copy.
-func (s *streamRun) fromStandby(l *leg) *leg {
+// resumeFromStandby continues the run at the engine that holds its standby copy.
+func (s *streamRun) resumeFromStandby(l *leg) *leg {
 	p, ok := s.relay.permit(s.ctx, s.req, l.standby)
 	if !ok {
 		return nil
 	}
-	if !s.mayResume(s.ctx, howStandby) {
-		s.relay.giveBack(p)
+	if !s.acquireResume(s.ctx, howStandby) {
+		s.relay.releasePermit(p)
 		return nil
 	}
-	next, outcome := s.begin(s.ctx, p, s.resumeFrom(Copy{Address: l.standby.Address, ID: string(s.req.Ask.Request)}), howStandby)
+	next, outcome := s.startLeg(s.ctx, p, s.resumeDirective(Copy{Address: l.standby.Address, ID: string(s.req.Ask.Request)}), howStandby)
 	if outcome != Answered {
 		return nil
 	}
-	s.relay.obs.Migrated(s.req, l.target, l.standby, howStandby, time.Since(s.pausedAt))
+	s.relay.obs.Migrated(s.req, l.target, l.standby, howStandby, time.Since(s.lastEventAt))
 	return next
 }
 
-// mayResume takes the retry for a stream that is continued at another engine.
-func (s *streamRun) mayResume(ctx context.Context, how string) bool {
-	_, ok := s.relay.retry(ctx, s.req, retrybudget.PurposeResume, how)
+// acquireResume acquires the retry for continuing a stream at another engine.
+func (s *streamRun) acquireResume(ctx context.Context, how string) bool {
+	_, ok := s.relay.acquireRetry(ctx, s.req, retrybudget.PurposeResume, how)
 	return ok
 }
 
-// again runs the request anew after the last event.
-func (s *streamRun) again(l *leg) *leg {
-	s.req.asked = append(s.req.asked, l.target)
-	if !s.relay.mayGoOn(s.req, outcomeLost) || !s.mayResume(s.ctx, howRestart) {
+// restart runs the request again, from the event after the last one that the caller has.
+func (s *streamRun) restart(l *leg) *leg {
+	s.req.tried = append(s.req.tried, l.target)
+	if !s.relay.mayTryAnother(s.req, outcomeLost) || !s.acquireResume(s.ctx, howRestart) {
 		return nil
 	}
-	p := s.relay.placePermitted(s.ctx, s.req)
+	p := s.relay.pickPermitted(s.ctx, s.req)
 	if p == nil {
 		return nil
 	}
-	next, outcome := s.begin(s.ctx, p, Directive{LastEvent: s.last()}, howRestart)
+	next, outcome := s.startLeg(s.ctx, p, Directive{LastEvent: s.lastEvent()}, howRestart)
 	if outcome != Answered {
 		return nil
 	}
-	s.relay.obs.Migrated(s.req, l.target, p.target, howRestart, time.Since(s.pausedAt))
+	s.relay.obs.Migrated(s.req, l.target, p.target, howRestart, time.Since(s.lastEventAt))
 	return next
 }
 
-// finish ends a stream that was given whole.
+// finish ends a stream that was forwarded completely.
 func (s *streamRun) finish(l *leg) {
-	if s.passed {
+	if s.passedThrough {
 		return
 	}
-	s.begun(l)
+	s.sendHeader(l)
 	s.relay.obs.Ended(s.req, http.StatusOK, Answered)
 }
 
-// noMore ends a stream that nothing more can be done for.
-func (s *streamRun) noMore(outcome string) {
+// failStream ends a stream that cannot be continued.
+func (s *streamRun) failStream(outcome string) {
 	switch {
 	case s.req.callerGone():
-		s.relay.gone(s.req)
+		s.relay.endCancelled(s.req)
 	case s.ctx.Err() != nil:
-		s.broken(api.ReasonTimeout)
-	case s.began || s.req.mayHaveRun && outcome == outcomeLost:
-		s.broken(api.ReasonEngineDied)
+		s.abort(api.ReasonTimeout)
+	case s.headerSent || s.req.mayHaveRun && outcome == outcomeLost:
+		s.abort(api.ReasonEngineDied)
 	default:
-		s.relay.exhausted(s.req, outcome)
+		s.relay.failExhausted(s.req, outcome)
 	}
 }
 
-// broken ends a stream early. One that has begun ends without its last chunk, so
-// that it doesn't look whole.
-func (s *streamRun) broken(reason api.Reason) {
-	if s.began {
+// abort ends a stream early. If the header has been sent, it closes the connection without the
+// last chunk, so that the response does not look complete.
+func (s *streamRun) abort(reason api.Reason) {
+	if s.headerSent {
 		s.relay.obs.Ended(s.req, http.StatusOK, string(reason))
 		panic(http.ErrAbortHandler)
 	}
 	if reason == api.ReasonTimeout {
-		s.relay.timedOut(s.req)
+		s.relay.failTimeout(s.req)
 		return
 	}
-	s.relay.fail(s.req, http.StatusBadGateway, reason, 0)
+	s.relay.writeError(s.req, http.StatusBadGateway, reason, 0)
 }
--- a/node/relay/stream_test.go
+++ b/node/relay/stream_test.go
@@ -15,41 +15,41 @@
 	qt "github.com/frankban/quicktest"
 )
 
-// A caller reads a long stream whose engine says that it leaves. The stream goes on
-// where its memory was copied: each event comes once, in order, and the first
-// engine is let go.
+// TestStreamGoesOnWhereItsCopyIs checks that a stream whose engine drains is continued at the
+// engine with the standby copy: each event arrives once and in order, and the first engine's
+// request is cancelled.
 func TestStreamGoesOnWhereItsCopyIs(t *testing.T) {
-	s := newStage(t, routeconf.Route{Kind: routeconf.KindStream, MaxTargets: 1}, noMoves)
+	s := newFixture(t, routeconf.Route{Kind: routeconf.KindStream, MaxTargets: 1}, noCopies)
 	released := make(chan struct{})
 	var first directory.Record
 	s.target("b", "far", func(w http.ResponseWriter, r *http.Request) {
 		if r.Header.Get("Copy-From") != "1" {
-			t.Errorf("the second engine was asked without the copy")
+			t.Errorf("the second engine's request does not name the copy")
 		}
-		events(w, last(r)+1, 6)
+		writeEvents(w, lastEventNumber(r)+1, 6)
 	})
 	first = s.target("a", "z", func(w http.ResponseWriter, r *http.Request) {
 		if r.Header.Get("Copy-To") == "" {
-			t.Errorf("no copy was ordered")
+			t.Errorf("the first engine's request does not name a standby")
 		}
-		events(w, 1, 3)
-		s.leaves(first)
-		events(w, 4, 4)
+		writeEvents(w, 1, 3)
+		s.drain(first)
+		writeEvents(w, 4, 4)
 		<-r.Context().Done()
 		close(released)
 	})
 	resp, body, err := s.ask("/a/x", "Most", "500")
 	s.c.Assert(err, qt.IsNil)
 	s.c.Assert(resp.StatusCode, qt.Equals, http.StatusOK)
-	s.c.Assert(body, qt.Equals, wanted(1, 6))
+	s.c.Assert(body, qt.Equals, eventText(1, 6))
 	<-released
 }
 
-// An engine leaves, and the one that should have a copy of the run has none. The
-// caller must not lose the stream for that: the run was still under way when the
-// copy was asked for, and goes on to its end.
+// TestRunIsNotEndedForACopyThatIsMissing guards against losing a stream whose engine drains
+// while the standby has no copy of the run. The run must not be stopped before the standby
+// accepts it; here it continues to its end at the first engine.
 func TestRunIsNotEndedForACopyThatIsMissing(t *testing.T) {
-	s := newStage(t, routeconf.Route{Kind: routeconf.KindStream, MaxTargets: 1}, noMoves)
+	s := newFixture(t, routeconf.Route{Kind: routeconf.KindStream, MaxTargets: 1}, noCopies)
 	refused := make(chan struct{})
 	var once sync.Once
 	var first directory.Record
@@ -59,41 +59,42 @@
 		once.Do(func() { close(refused) })
 	})
 	first = s.target("a", "z", func(w http.ResponseWriter, _ *http.Request) {
-		events(w, 1, 3)
-		s.leaves(first)
-		events(w, 4, 4)
+		writeEvents(w, 1, 3)
+		s.drain(first)
+		writeEvents(w, 4, 4)
 		<-refused
-		events(w, 5, 8)
+		writeEvents(w, 5, 8)
 	})
 	_, body, err := s.ask("/a/x", "Most", "500")
 	s.c.Assert(err, qt.IsNil)
-	s.c.Assert(body, qt.Equals, wanted(1, 8))
+	s.c.Assert(body, qt.Equals, eventText(1, 8))
 }
 
-// An engine leaves just as it has made a stream's last event. The next one has
-// nothing left to make and gives the last event again; the caller must get it once.
+// TestLastEventIsNotGivenTwice guards against a repeated last event. An engine drains just
+// after generating the last event of a stream; the next engine has nothing left to generate and
+// sends the last event again.
 func TestLastEventIsNotGivenTwice(t *testing.T) {
-	s := newStage(t, routeconf.Route{Kind: routeconf.KindStream, MaxTargets: 1}, noMoves)
+	s := newFixture(t, routeconf.Route{Kind: routeconf.KindStream, MaxTargets: 1}, noCopies)
 	var first directory.Record
-	// Asked to continue after the last event, the second engine gives that one again.
-	s.target("b", "far", func(w http.ResponseWriter, r *http.Request) { events(w, min(last(r)+1, 4), 4) })
+	// The second engine repeats the last event when it continues after it.
+	s.target("b", "far", func(w http.ResponseWriter, r *http.Request) { writeEvents(w, min(lastEventNumber(r)+1, 4), 4) })
 	first = s.target("a", "z", func(w http.ResponseWriter, r *http.Request) {
-		events(w, 1, 3)
-		s.leaves(first)
-		events(w, 4, 4)
+		writeEvents(w, 1, 3)
+		s.drain(first)
+		writeEvents(w, 4, 4)
 		<-r.Context().Done()
 	})
 	_, body, err := s.ask("/a/x", "Most", "500")
 	s.c.Assert(err, qt.IsNil)
-	s.c.Assert(body, qt.Equals, wanted(1, 4))
+	s.c.Assert(body, qt.Equals, eventText(1, 4))
 }
 
-// A run has no copy and its engine leaves. It is copied while it goes on, stopped,
-// and taken up by the other engine; what was made before the stop comes from the
-// first.
+// TestRunIsMovedFromAnEngineThatLeaves checks that a run without a standby copy is copied while
+// it continues, stopped, and continued at the other engine. Events from before the stop come
+// from the first engine.
 func TestRunIsMovedFromAnEngineThatLeaves(t *testing.T) {
 	copying, stopped := make(chan struct{}), make(chan struct{})
-	s := newStage(t, routeconf.Route{Kind: routeconf.KindStream, MaxTargets: 1}, mover(func(_, _ string, stop bool) (Copy, error) {
+	s := newFixture(t, routeconf.Route{Kind: routeconf.KindStream, MaxTargets: 1}, copyFunc(func(_, _ string, stop bool) (Copy, error) {
 		if stop {
 			close(stopped)
 		} else {
@@ -104,76 +105,75 @@
 	var first directory.Record
 	s.target("b", "far", func(w http.ResponseWriter, r *http.Request) {
 		if r.Header.Get("Copy-From") != "handle" {
-			t.Errorf("the second engine was asked without the handle")
+			t.Errorf("the second engine's request does not name the copy")
 		}
-		events(w, last(r)+1, 6*growEvery)
+		writeEvents(w, lastEventNumber(r)+1, 6*recountEvents)
 	})
 	first = s.target("a", "z", func(w http.ResponseWriter, _ *http.Request) {
-		events(w, 1, 3)
-		s.leaves(first)
-		events(w, 4, 4)
+		writeEvents(w, 1, 3)
+		s.drain(first)
+		writeEvents(w, 4, 4)
 		<-copying
-		events(w, 5, 4*growEvery) // it grows while it is copied
+		writeEvents(w, 5, 4*recountEvents) // the run grows while it is copied
 		<-stopped
-		events(w, 4*growEvery+1, 5*growEvery)
-		panic(http.ErrAbortHandler) // a stopped run ends without its end
+		writeEvents(w, 4*recountEvents+1, 5*recountEvents)
+		panic(http.ErrAbortHandler) // a stopped run ends without the last chunk
 	})
 	_, body, err := s.ask("/a/x", "Most", "50")
 	s.c.Assert(err, qt.IsNil)
-	s.c.Assert(body, qt.Equals, wanted(1, 6*growEvery))
-	// Whatever was counted at the engines on the way is taken back, or they would
-	// look fuller with every move.
+	s.c.Assert(body, qt.Equals, eventText(1, 6*recountEvents))
+	// All load counted during the migration must be removed, or engines would look fuller after
+	// every migration.
 	for len(s.targets.Loads()) > 0 {
 		time.Sleep(time.Millisecond)
 	}
 }
 
-// leavingEngine starts an engine that leaves while it makes a stream of nine events, and goes
-// on for a while once its run has been copied.
-func (s *stage) leavingEngine(copied <-chan struct{}) {
+// startDrainingEngine starts an engine that drains during a stream of nine events, and
+// continues for a while after its run has been copied.
+func (s *fixture) startDrainingEngine(copied <-chan struct{}) {
 	var first directory.Record
 	first = s.target("a", "z", func(w http.ResponseWriter, _ *http.Request) {
-		events(w, 1, 3)
-		s.leaves(first)
-		events(w, 4, 4)
+		writeEvents(w, 1, 3)
+		s.drain(first)
+		writeEvents(w, 4, 4)
 		<-copied
-		time.Sleep(3 * payEvery)
-		events(w, 5, 9)
+		time.Sleep(3 * retryAcquireInterval)
+		writeEvents(w, 5, 9)
 	})
 }
 
-// The caller reads a long stream, its engine leaves, and the budget for repeats is
-// spent. The run is copied to another engine; were it stopped then, it could go on
-// nowhere and the stream would break off. It is not stopped, and its engine, which
-// works on for a while, ends it.
+// TestRunIsNotStoppedWithoutARepeatForIt guards against stopping a run that cannot be continued
+// because the retry budget is exhausted. The run has been copied, but its draining engine has
+// to complete it.
 func TestRunIsNotStoppedWithoutARepeatForIt(t *testing.T) {
 	copied := make(chan struct{}, 1)
-	engines := mover(func(_, _ string, stop bool) (Copy, error) {
+	engines := copyFunc(func(_, _ string, stop bool) (Copy, error) {
 		if stop {
 			t.Error("the run was stopped")
 		}
 		copied <- struct{}{}
 		return Copy{Address: "x", ID: "handle"}, nil
 	})
-	s := newStageWith(t, routeconf.Route{Kind: routeconf.KindStream, MaxTargets: 1}, engines, retrybudget.Limits{Window: 10 * time.Second})
-	s.target("b", "far", func(http.ResponseWriter, *http.Request) { t.Error("the second engine got the request") })
-	s.leavingEngine(copied)
+	s := newFixtureWithRetries(t, routeconf.Route{Kind: routeconf.KindStream, MaxTargets: 1}, engines, retrybudget.Limits{Window: 10 * time.Second})
+	s.target("b", "far", func(http.ResponseWriter, *http.Request) { t.Error("the second engine received the request") })
+	s.startDrainingEngine(copied)
 	_, body, err := s.ask("/a/x", "Most", "50")
 	s.c.Assert(err, qt.IsNil)
-	s.c.Assert(body, qt.Equals, wanted(1, 9))
+	s.c.Assert(body, qt.Equals, eventText(1, 9))
 }
 
-// An engine breaks off in the middle of an event. Passed on as it came, the caller
-// would get half an event and then the whole; it gets the whole alone.
+// TestHalfAnEventIsNeverPassedOn guards against forwarding a part of an event when an engine
+// breaks off in the middle of it: the caller would receive that part and then the whole event.
 func TestHalfAnEventIsNeverPassedOn(t *testing.T) {
-	s := newStage(t, routeconf.Route{Kind: routeconf.KindStream, MaxTargets: 2, Resumable: true}, noMoves)
+	s := newFixture(t, routeconf.Route{Kind: routeconf.KindStream, MaxTargets: 2, Resumable: true}, noCopies)
 	var asked atomic.Int32
 	h := func(w http.ResponseWriter, r *http.Request) {
 		if asked.Add(1) > 1 {
-			events(w, last(r)+1, 4)
+			writeEvents(w, lastEventNumber(r)+1, 4)
 			return
 		}
-		events(w, 1, 2)
+		writeEvents(w, 1, 2)
 		fmt.Fprint(w, "id: 3\ndata: pie")
 		_ = http.NewResponseController(w).Flush()
 		panic(http.ErrAbortHandler)
@@ -182,26 +182,27 @@
 	s.target("b", "z", h)
 	_, body, err := s.ask("/a/x")
 	s.c.Assert(err, qt.IsNil)
-	s.c.Assert(body, qt.Equals, wanted(1, 4))
+	s.c.Assert(body, qt.Equals, eventText(1, 4))
 }
 
-// A stream that must not run twice breaks off and no copy is there. Its end must
-// not look whole: the caller's connection ends without the last chunk.
+// TestBrokenStreamDoesNotLookWhole guards against a broken stream that looks complete. A stream
+// that must not run twice and has no copy breaks off; the caller's connection has to end
+// without the last chunk.
 func TestBrokenStreamDoesNotLookWhole(t *testing.T) {
-	s := newStage(t, routeconf.Route{Kind: routeconf.KindStream, MaxTargets: 1}, noMoves)
+	s := newFixture(t, routeconf.Route{Kind: routeconf.KindStream, MaxTargets: 1}, noCopies)
 	s.target("a", "z", func(w http.ResponseWriter, _ *http.Request) {
-		events(w, 1, 2)
+		writeEvents(w, 1, 2)
 		panic(http.ErrAbortHandler)
 	})
 	_, body, err := s.ask("/a/x")
 	s.c.Assert(err, qt.ErrorIs, io.ErrUnexpectedEOF)
-	s.c.Assert(body, qt.Equals, wanted(1, 2))
+	s.c.Assert(body, qt.Equals, eventText(1, 2))
 }
 
-// TestStreamWithoutEventsKeepsItsHead guards against the answer of an engine that made no event
-// and reaches its caller without the head that the engine gave it.
+// TestStreamWithoutEventsKeepsItsHead guards against losing the header of an engine's response
+// if the stream has no events.
 func TestStreamWithoutEventsKeepsItsHead(t *testing.T) {
-	s := newStage(t, routeconf.Route{Kind: routeconf.KindStream, MaxTargets: 1}, noMoves)
+	s := newFixture(t, routeconf.Route{Kind: routeconf.KindStream, MaxTargets: 1}, noCopies)
 	s.target("a", "z", func(w http.ResponseWriter, _ *http.Request) {
 		w.Header().Set("Content-Type", "text/event-stream")
 		w.Header().Set("Seal", "of the engine")
