--- a/node/relay/targets.go
+++ b/node/relay/targets.go
@@ -16,58 +16,59 @@
 	"almondseam.dev/core/targetlimit"
 )
 
-// Target is one run of a target as this entry knows it.
+// Target is one run of a target, from its start to its end, as this relay knows it.
 type Target struct {
 	directory.Record
 	draining atomic.Bool
-	// unlisted targets are in no list any more; the table's lock is held for it.
-	unlisted bool
-	// drainingSince is when the target was first known to drain, Unix nanoseconds.
+	// removed marks a target that no list may contain any longer; it is guarded by the table's
+	// lock.
+	removed bool
+	// drainingSince is when this relay learned that the target drains, in Unix nanoseconds.
 	drainingSince atomic.Int64
-	// coldTill is until when the target is cold, takenBack when its zone's evacuation was
-	// finished; Unix nanoseconds, zero for never.
-	coldTill  atomic.Int64
-	takenBack atomic.Int64
-	// heldBackTill is until when the target is passed over because others are granted all
-	// the requests that it bears, Unix nanoseconds.
-	heldBackTill atomic.Int64
-	// limited is what this entry knows of the target's limit; nil for nothing.
-	limited atomic.Pointer[targetlimit.View]
-	// limitUnreadable is set while the target names a limit that can't be read.
+	// coldUntil is until when the target is cold, evacuationEnded when the evacuation of its
+	// zone ended, both in Unix nanoseconds, zero for never.
+	coldUntil       atomic.Int64
+	evacuationEnded atomic.Int64
+	// heldBackUntil is until when no request is sent to the target because the control group
+	// refused a grant, in Unix nanoseconds.
+	heldBackUntil atomic.Int64
+	// limitView is what this relay knows of the target's rate limit, nil if nothing.
+	limitView atomic.Pointer[targetlimit.View]
+	// limitUnreadable is set while the target announces a limit that cannot be parsed.
 	limitUnreadable atomic.Bool
-	// stating is set while the group is told of the limit.
-	stating atomic.Bool
-	// running to movingRuns are this entry's own load on the target.
-	running atomic.Int64
-	tokens  atomic.Int64
-	unread  atomic.Int64
-	moving  atomic.Int64
-	// movingRuns counts the runs in moving.
-	movingRuns atomic.Int64
-	// others is the load by other entries, as last reported.
+	// reportingLimit is set while the limit is being reported to the control group.
+	reportingLimit atomic.Bool
+	// running to unbackedRuns are this relay's own load on the target.
+	running        atomic.Int64
+	tokens         atomic.Int64
+	unread         atomic.Int64
+	unbackedTokens atomic.Int64
+	// unbackedRuns counts the runs in unbackedTokens.
+	unbackedRuns atomic.Int64
+	// others is the load from other relays, as last reported.
 	others atomic.Pointer[fleetload.Load]
-	// ahead is what entries before this one move first when the target drains, as known
-	// when it began to; nil for nothing.
+	// ahead is what other relays migrate from the target before this one does, as known when
+	// the target began to drain; nil if nothing.
 	ahead atomic.Pointer[fleetload.Backlog]
-	// table is notified of changes of this entry's load.
+	// table is notified of changes of this relay's load.
 	table *Targets
-	// turn is held by the run that is being moved from the target.
-	turn chan struct{}
-	// avoidTill is until when the target is passed over, Unix nanoseconds.
-	avoidTill atomic.Int64
-	// fullTill is until when the target counts as full, Unix nanoseconds.
-	fullTill atomic.Int64
-	// failures in a row.
+	// migrationSlot is held by the run that is being migrated from the target.
+	migrationSlot chan struct{}
+	// avoidUntil is until when the target is avoided after failures, in Unix nanoseconds.
+	avoidUntil atomic.Int64
+	// fullUntil is until when the target counts as full, in Unix nanoseconds.
+	fullUntil atomic.Int64
+	// failures counts consecutive failures.
 	failures atomic.Int32
 }
 
-// serviceTargets are the targets of one service; the list is replaced whole.
+// serviceTargets holds the targets of one service; the list is replaced as a whole.
 type serviceTargets struct {
 	list atomic.Pointer[[]*Target]
 }
 
-// Targets is this entry's table of targets. Readers of a service's list take no lock; a
-// change costs as much as the list of its service is long, without hashing.
+// Targets is this relay's table of targets. Reading the list of a service takes no lock.
+// Changing it copies the list of that service, without hashing.
 type Targets struct {
 	// services is copied when a service is added.
 	services atomic.Pointer[map[api.ServiceID]*serviceTargets]
@@ -75,72 +76,73 @@
 
 	mu   sync.Mutex
 	byID map[api.TargetID]*Target
-	// others are the loads by other entries, by target.
+	// others holds the load from other relays, by target.
 	others map[api.TargetID]fleetload.Sum
-	// limits are those that targets have named to any entry, as of the log index limitsAt.
-	limits   map[api.TargetID]state.TargetLimit
-	limitsAt uint64
+	// limits holds the rate limits announced to any relay, as of the log index limitsIndex.
+	limits      map[api.TargetID]state.TargetLimit
+	limitsIndex uint64
 
 	dirtyMu sync.Mutex
-	// dirty are the targets on which this entry's load has changed since it was taken.
+	// dirty holds the targets on which this relay's load has changed since it was last taken.
 	dirty map[api.TargetID]struct{}
-	// changed holds a token once a change is to be reported.
+	// changed holds a token if a change is to be reported.
 	changed chan struct{}
-	// entries is how many entries have reported their load of late, this one included.
-	entries atomic.Int64
-	// evacuation is nil before the first list of evacuated zones.
+	// relays is the number of relays that have recently reported their load, plus this one.
+	relays atomic.Int64
+	// evacuation is nil before the first list of evacuated zones arrives.
 	evacuation atomic.Pointer[evacuation]
 }
 
-// usualEntries is assumed until the first load reports of other entries arrive. An entry
-// that took itself for the only one would draw all targets for each choice, as others
-// that have just started do, and choose the same one.
-const usualEntries = 6
+// assumedRelays is the assumed number of relays until the first load reports of other relays
+// arrive. A relay that assumed to be the only one would consider all targets for each choice;
+// so would others that have just started, and all would choose the same target.
+const assumedRelays = 6
 
-// NewTargets makes an empty table.
+// NewTargets returns an empty table.
 func NewTargets() *Targets {
 	t := &Targets{
 		byID: make(map[api.TargetID]*Target), others: make(map[api.TargetID]fleetload.Sum),
 		dirty: make(map[api.TargetID]struct{}), changed: make(chan struct{}, 1),
 	}
-	t.entries.Store(usualEntries)
+	t.relays.Store(assumedRelays)
 	t.services.Store(&map[api.ServiceID]*serviceTargets{})
 	return t
 }
 
-// Update takes changed records.
+// Update applies changed records.
 func (t *Targets) Update(list []directory.Record) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	added := make(map[api.ServiceID][]*Target)
-	// changed are the services whose lists are no longer as they were.
+	// changed holds the services whose lists have to be rebuilt.
 	changed := make(map[api.ServiceID]struct{})
 	for _, r := range list {
 		old := t.byID[r.Target]
-		next := t.renew(old, r)
+		next := t.targetFor(old, r)
 		if r.State == directory.StateGone {
 			delete(t.byID, r.Target)
-			next.unlisted = true
+			next.removed = true
 		} else {
 			t.byID[r.Target] = next
 		}
-		if old != nil && (old != next || next.unlisted) {
-			old.unlisted = true
+		if old != nil && (old != next || next.removed) {
+			old.removed = true
 			changed[old.Service] = struct{}{}
 		}
-		if next != old && !next.unlisted {
+		if next != old && !next.removed {
 			added[next.Service] = append(added[next.Service], next)
 			changed[next.Service] = struct{}{}
 		}
 	}
 	for id := range changed {
-		t.relist(id, added[id])
+		t.rebuildList(id, added[id])
 	}
 	t.count.Store(int64(len(t.byID)))
 }
 
-// relist drops what is unlisted from a service's list and adds to it. The lock is held.
-func (t *Targets) relist(id api.ServiceID, added []*Target) {
+// rebuildList deletes the removed targets from a service's list and appends added. The caller
+// holds t.mu.
+func (t *Targets) rebuildList(id api.ServiceID, added []*Target) {
 	service := (*t.services.Load())[id]
 	if service == nil {
 		service = t.addService(id)
@@ -149,7 +151,7 @@
 	next := make([]*Target, 0, len(old)+len(added))
 	for _, list := range [][]*Target{old, added} {
 		for _, target := range list {
-			if !target.unlisted {
+			if !target.removed {
 				next = append(next, target)
 			}
 		}
@@ -166,20 +168,21 @@
 	return service
 }
 
-// renew gives the target for a record, keeping the counts of the same run.
-func (t *Targets) renew(known *Target, r directory.Record) *Target {
+// targetFor returns the target for a record. It keeps known, with its load, if the record
+// describes the same run of the target.
+func (t *Targets) targetFor(known *Target, r directory.Record) *Target {
 	if known == nil || known.Born != r.Born || known.Address != r.Address || known.Service != r.Service {
 		if known != nil {
 			known.drain()
 		}
-		known = &Target{Record: r, table: t, turn: make(chan struct{}, 1)}
+		known = &Target{Record: r, table: t, migrationSlot: make(chan struct{}, 1)}
 		if sum, ok := t.others[r.Target]; ok {
 			known.setOthers(sum)
 		}
-		t.remember(known)
+		t.applyListedLimit(known)
 	}
 	if r.Cold > 0 {
-		known.chill(time.Now().Add(r.Cold))
+		known.markColdUntil(time.Now().Add(r.Cold))
 	}
 	switch r.State {
 	case directory.StateLeaving, directory.StateGone:
@@ -188,18 +191,18 @@
 	return known
 }
 
-// drain marks the target as draining: it gets no new requests, and its streams migrate.
+// drain marks the target as draining: it gets no new requests, and its streams are migrated.
 func (t *Target) drain() {
 	t.drainingSince.CompareAndSwap(0, time.Now().UnixNano())
 	t.draining.Store(true)
 }
 
-// noticeEnds is until when a draining target can be relied on.
-func (t *Target) noticeEnds() time.Time {
+// noticeEnd returns until when a draining target can be relied on.
+func (t *Target) noticeEnd() time.Time {
 	return time.Unix(0, t.drainingSince.Load()).Add(handoff.Notice)
 }
 
-// Of gives the targets of a service. The list must not be changed.
+// Of returns the targets of a service. The list must not be modified.
 func (t *Targets) Of(s api.ServiceID) []*Target {
 	service := (*t.services.Load())[s]
 	if service == nil {
@@ -208,78 +211,78 @@
 	return *service.list.Load()
 }
 
-// Len counts the targets.
+// Len returns the number of targets.
 func (t *Targets) Len() int { return int(t.count.Load()) }
 
-// full tells whether the target has lately refused to set room aside.
-func (t *Target) full(now time.Time) bool { return now.UnixNano() < t.fullTill.Load() }
+// isFull reports whether the target has recently refused a reservation.
+func (t *Target) isFull(now time.Time) bool { return now.UnixNano() < t.fullUntil.Load() }
 
-// avoided tells whether the target is passed over at present.
-func (t *Target) avoided(now time.Time) bool { return now.UnixNano() < t.avoidTill.Load() }
+// isAvoided reports whether the target is avoided, as a last choice, after failures.
+func (t *Target) isAvoided(now time.Time) bool { return now.UnixNano() < t.avoidUntil.Load() }
 
 const (
-	// avoidMin is how long a target is passed over after its first failure; it
-	// doubles up to avoidMax with each one in a row.
+	// avoidMin is how long a target is avoided after its first failure. The time doubles with
+	// each consecutive failure, up to avoidMax.
 	avoidMin = 250 * time.Millisecond
 	avoidMax = 4 * time.Second
-	// avoidDoublings is how many times avoidMin doubles until it is avoidMax.
+	// avoidDoublings is the number of doublings from avoidMin to avoidMax.
 	avoidDoublings = 4
 )
 
-// failed passes the target over for a while.
-func (t *Target) failed(now time.Time) {
+// recordFailure marks the target as avoided for a while.
+func (t *Target) recordFailure(now time.Time) {
 	n := t.failures.Add(1)
 	wait := avoidMin << min(n-1, avoidDoublings)
-	t.avoidTill.Store(now.Add(min(wait, avoidMax)).UnixNano())
+	t.avoidUntil.Store(now.Add(min(wait, avoidMax)).UnixNano())
 }
 
-// served takes that back.
-func (t *Target) served() {
+// recordSuccess ends the effect of earlier failures.
+func (t *Target) recordSuccess() {
 	if t.failures.Load() != 0 {
 		t.failures.Store(0)
-		t.avoidTill.Store(0)
+		t.avoidUntil.Store(0)
 	}
 }
 
-// hold counts a request against the target until release; unread is the part of
-// its prompt that the engine has to read.
-func (t *Target) hold(tokens, unread int) {
+// addRequest counts a request on the target until removeRequest; unread is the number of its
+// prompt tokens that the engine has to process.
+func (t *Target) addRequest(tokens, unread int) {
 	t.running.Add(1)
 	t.tokens.Add(int64(tokens))
 	t.unread.Add(int64(unread))
-	t.note(true)
+	t.markDirty(true)
 }
 
-func (t *Target) release(tokens int) {
+func (t *Target) removeRequest(tokens int) {
 	t.running.Add(-1)
 	t.tokens.Add(-int64(tokens))
-	t.note(true)
+	t.markDirty(true)
 }
 
-// read takes back what hold counted as unread.
-func (t *Target) read(unread int) {
+// removeUnread removes prompt tokens counted by addRequest that the engine has processed.
+func (t *Target) removeUnread(unread int) {
 	if unread == 0 {
 		return
 	}
 	t.unread.Add(-int64(unread))
-	t.note(true)
+	t.markDirty(true)
 }
 
-// keep counts memory against the target: a copy of another engine's run, or what
-// a run has grown by.
-func (t *Target) keep(tokens int) {
+// addTokens counts KV cache tokens on the target: those of a copy of another engine's run, or
+// those by which a run has grown. A negative number removes them.
+func (t *Target) addTokens(tokens int) {
 	t.tokens.Add(int64(tokens))
-	t.note(false)
+	t.markDirty(false)
 }
 
-// expose counts runs, and memory of runs, that no other engine has a copy of.
-func (t *Target) expose(runs, tokens int) {
-	t.movingRuns.Add(int64(runs))
-	t.moving.Add(int64(tokens))
-	t.note(false)
+// addUnbacked counts runs, and their KV cache tokens, of which no other engine has a copy.
+func (t *Target) addUnbacked(runs, tokens int) {
+	t.unbackedRuns.Add(int64(runs))
+	t.unbackedTokens.Add(int64(tokens))
+	t.markDirty(false)
 }
 
-// backlog is what entries before this one move first.
+// backlog returns what other relays migrate from the target before this one does.
 func (t *Target) backlog() fleetload.Backlog {
 	if b := t.ahead.Load(); b != nil {
 		return *b
@@ -287,28 +290,27 @@
 	return fleetload.Backlog{}
 }
 
-// Load gives the load by all entries, as this one knows it.
+// Load returns the load from all relays, as far as this one knows it.
 func (t *Target) Load() fleetload.Load {
-	l := t.own()
+	l := t.ownLoad()
 	if o := t.others.Load(); o != nil {
 		l = l.Add(*o)
 	}
 	return l
 }
 
-func (t *Target) own() fleetload.Load {
-	return fleetload.Load{Running: int(t.running.Load()), Tokens: int(t.tokens.Load()), Unread: int(t.unread.Load()), Moving: int(t.moving.Load()), MovingRuns: int(t.movingRuns.Load())}
+func (t *Target) ownLoad() fleetload.Load {
+	return fleetload.Load{Running: int(t.running.Load()), Tokens: int(t.tokens.Load()), Unread: int(t.unread.Load()), Moving: int(t.unbackedTokens.Load()), MovingRuns: int(t.unbackedRuns.Load())}
 }
 
-// Loads gives this entry's load on each target that has any, in the order of
-// their names.
+// Loads returns this relay's load on each target that has any, in the order of target IDs.
 func (t *Targets) Loads() []fleetload.TargetLoad {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.takeDirty()
 	var out []fleetload.TargetLoad
 	for id, target := range t.byID {
-		if l := target.own(); l != (fleetload.Load{}) {
+		if l := target.ownLoad(); l != (fleetload.Load{}) {
 			out = append(out, fleetload.TargetLoad{Target: id, Load: l})
 		}
 	}
@@ -316,8 +318,8 @@
 	return out
 }
 
-// ChangedLoads gives this entry's load on each target on which it has changed since the
-// last call of this or of Loads, in the order of their names.
+// ChangedLoads returns this relay's load on each target on which it has changed since the last
+// call of ChangedLoads or Loads, in the order of target IDs.
 func (t *Targets) ChangedLoads() []fleetload.TargetLoad {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -325,7 +327,7 @@
 	for id := range t.takeDirty() {
 		l := fleetload.TargetLoad{Target: id}
 		if target := t.byID[id]; target != nil {
-			l.Load = target.own()
+			l.Load = target.ownLoad()
 		}
 		out = append(out, l)
 	}
@@ -337,7 +339,8 @@
 	slices.SortFunc(list, func(a, b fleetload.TargetLoad) int { return cmp.Compare(a.Target, b.Target) })
 }
 
-// takeDirty is called before the loads are read: a change after it is in the next take.
+// takeDirty returns the targets with changed loads, and clears the set. It must be called
+// before the loads are read, so that a change after the call is in the next set.
 func (t *Targets) takeDirty() map[api.TargetID]struct{} {
 	t.dirtyMu.Lock()
 	defer t.dirtyMu.Unlock()
@@ -346,12 +349,13 @@
 	return taken
 }
 
-// Changed gives a token whenever this entry's load has changed since the last one.
+// Changed returns a channel that delivers a token after changes of this relay's load that are
+// to be reported soon.
 func (t *Targets) Changed() <-chan struct{} { return t.changed }
 
-// note remembers that this entry's load on the target has changed; with report it is to be
-// reported soon, else with the next change.
-func (t *Target) note(report bool) {
+// markDirty records that this relay's load on the target has changed. If report is true the
+// change is to be reported soon, else together with the next one.
+func (t *Target) markDirty(report bool) {
 	t.table.dirtyMu.Lock()
 	t.table.dirty[t.Target] = struct{}{}
 	t.table.dirtyMu.Unlock()
@@ -364,25 +368,25 @@
 	}
 }
 
-// Entries is how many entries there are.
-func (t *Targets) Entries() int { return int(t.entries.Load()) }
+// RelayCount returns the number of relays, including this one.
+func (t *Targets) RelayCount() int { return int(t.relays.Load()) }
 
-// SetOthers takes changed sums of the other entries' loads, and how many others there
-// are.
-func (t *Targets) SetOthers(changed []fleetload.Sum, entries int) {
-	t.entries.Store(int64(entries) + 1)
+// SetOthers applies changed sums of the load from other relays; relays is the number of these
+// others.
+func (t *Targets) SetOthers(changed []fleetload.Sum, relays int) {
+	t.relays.Store(int64(relays) + 1)
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	for _, sum := range changed {
-		t.keepSum(sum)
+		t.storeSum(sum)
 		if target := t.byID[sum.Target]; target != nil {
 			target.setOthers(sum)
 		}
 	}
 }
 
-// keepSum remembers a sum for a target that is announced after its load.
-func (t *Targets) keepSum(sum fleetload.Sum) {
+// storeSum keeps a sum, also for a target that is announced only later.
+func (t *Targets) storeSum(sum fleetload.Sum) {
 	if sum.Load == (fleetload.Load{}) {
 		delete(t.others, sum.Target)
 		return
--- a/node/relay/targets_test.go
+++ b/node/relay/targets_test.go
@@ -11,8 +11,8 @@
 	qt "github.com/frankban/quicktest"
 )
 
-// TestListsAreThoseOfAllRecords guards against lists that drift from the records which
-// they are kept up from: requests would go to targets that are gone, or never to others.
+// TestListsAreThoseOfAllRecords guards against lists that diverge from the records from which
+// they are updated: requests would go to targets that are gone, or never reach others.
 func TestListsAreThoseOfAllRecords(t *testing.T) {
 	c := qt.New(t)
 	rng := rand.New(rand.NewPCG(1, 3))
@@ -48,8 +48,8 @@
 	}
 }
 
-// TestChangedLoadsComeToTheWhole guards against a load that others keep of this entry for
-// ever, because a change of it was not reported.
+// TestChangedLoadsComeToTheWhole guards against an unreported change of load, because of which
+// other relays would keep a wrong load of this one for ever.
 func TestChangedLoadsComeToTheWhole(t *testing.T) {
 	c := qt.New(t)
 	rng := rand.New(rand.NewPCG(2, 3))
@@ -59,27 +59,27 @@
 		records = append(records, directory.Record{Target: api.TargetID(fmt.Sprint(i)), Service: service, Address: fmt.Sprint(i), State: directory.StateReady})
 	}
 	targets.Update(records)
-	told := fleetload.Report{Whole: true}
+	merged := fleetload.Report{Whole: true}
 	for range 2000 {
 		target := targets.Of(service)[rng.IntN(5)]
 		switch rng.IntN(4) {
 		case 0:
-			target.hold(10, 5)
+			target.addRequest(10, 5)
 		case 1:
-			target.read(1)
+			target.removeUnread(1)
 		case 2:
-			target.keep(3)
+			target.addTokens(3)
 		default:
-			target.expose(1, 7)
+			target.addUnbacked(1, 7)
 		}
 		if rng.IntN(3) == 0 {
-			told = told.Merge(fleetload.Report{List: targets.ChangedLoads()})
-			c.Assert(told.List, qt.DeepEquals, targets.Loads())
+			merged = merged.Merge(fleetload.Report{List: targets.ChangedLoads()})
+			c.Assert(merged.List, qt.DeepEquals, targets.Loads())
 		}
 	}
 }
 
-// BenchmarkUpdate is one changed target among so many. The figure is ns/op.
+// BenchmarkUpdate measures the removal and addition of one target among n, in ns/op.
 func BenchmarkUpdate(b *testing.B) {
 	for _, n := range []int{300, 1000, 3000} {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
