--- a/node/process/routed_entry.go
+++ b/node/process/routed_entry.go
@@ -214,7 +214,7 @@
 
 // onEvacuated takes the evacuated availability zones.
 func (e *RoutedEntry) onEvacuated(list state.Evacuated) {
-	if !e.targets.Evacuate(list) {
+	if !e.targets.SetEvacuated(list) {
 		return
 	}
 	zones := make([]string, len(list.Zones))
@@ -227,7 +227,7 @@
 
 // onLimits takes the limits that targets have named to other entries.
 func (e *RoutedEntry) onLimits(list state.TargetLimits) {
-	for _, c := range e.targets.HearLimits(list) {
+	for _, c := range e.targets.ApplyLimits(list) {
 		e.ports.Observer.LimitChanged(nil, c.Target, c.Before, c.After)
 	}
 }
--- a/node/relay/coldstart_test.go
+++ b/node/relay/coldstart_test.go
@@ -94,14 +94,14 @@
 			s.announceCold(record, lasts)
 			s.targets.Update([]directory.Record{record})
 		}, true},
-		{"its zone is evacuated", func(s *fixture) { s.targets.Evacuate(evacuated(1, "z")) }, false},
+		{"its zone is evacuated", func(s *fixture) { s.targets.SetEvacuated(evacuated(1, "z")) }, false},
 		{"the evacuation of its zone has ended", func(s *fixture) {
-			s.targets.Evacuate(evacuated(1, "z"))
-			s.targets.Evacuate(evacuated(2))
+			s.targets.SetEvacuated(evacuated(1, "z"))
+			s.targets.SetEvacuated(evacuated(2))
 		}, true},
 		{"the evacuation of another zone has ended", func(s *fixture) {
-			s.targets.Evacuate(evacuated(1, "y"))
-			s.targets.Evacuate(evacuated(2))
+			s.targets.SetEvacuated(evacuated(1, "y"))
+			s.targets.SetEvacuated(evacuated(2))
 		}, false},
 	} {
 		t.Run(tt.name, func(t *testing.T) {
--- a/node/relay/evacuation.go
+++ b/node/relay/evacuation.go
@@ -22,11 +22,11 @@
 	zones map[api.Zone]struct{}
 }
 
-// Evacuate applies a list of evacuated availability zones: targets in these zones receive
+// SetEvacuated applies a list of evacuated availability zones: targets in these zones receive
 // no new requests from then on. It returns false, and changes nothing, if the list is not newer
 // than the one in force: a lagging control member must not revert an order that this relay has
 // already applied.
-func (t *Targets) Evacuate(e state.Evacuated) bool {
+func (t *Targets) SetEvacuated(e state.Evacuated) bool {
 	next := &evacuation{index: e.Index, zones: make(map[api.Zone]struct{}, len(e.Zones))}
 	for _, z := range e.Zones {
 		next.zones[z] = struct{}{}
--- a/node/relay/evacuation_test.go
+++ b/node/relay/evacuation_test.go
@@ -32,7 +32,7 @@
 			var here, there atomic.Int64
 			s.target("here", "z", func(w http.ResponseWriter, r *http.Request) { here.Add(1); answer(w, r) })
 			s.target("there", "far", func(w http.ResponseWriter, r *http.Request) { there.Add(1); answer(w, r) })
-			s.targets.Evacuate(evacuated(5, "z"))
+			s.targets.SetEvacuated(evacuated(5, "z"))
 			for range 20 {
 				resp, _, err := s.ask("/a/x", "Most", "50")
 				s.c.Assert(err, qt.IsNil)
@@ -40,7 +40,7 @@
 			}
 			s.c.Assert([]int64{here.Load(), there.Load()}, qt.DeepEquals, []int64{0, 20})
 
-			s.targets.Evacuate(evacuated(7, "far", "z"))
+			s.targets.SetEvacuated(evacuated(7, "far", "z"))
 			began := time.Now()
 			resp, body, err := s.ask("/a/x", "Most", "50")
 			s.c.Assert(err, qt.IsNil)
@@ -49,7 +49,7 @@
 			s.c.Assert(resp.Header.Get("Retry-After"), qt.Equals, "5.00")
 			s.c.Assert(time.Since(began) < minRoomWait, qt.IsTrue, qt.Commentf("refused at once"))
 
-			s.targets.Evacuate(evacuated(9))
+			s.targets.SetEvacuated(evacuated(9))
 			resp, _, err = s.ask("/a/x", "Most", "50")
 			s.c.Assert(err, qt.IsNil)
 			s.c.Assert(resp.StatusCode, qt.Equals, http.StatusOK)
@@ -77,7 +77,7 @@
 		{evacuated(9, "b"), true, false},
 		{evacuated(8, "a"), false, false},
 	} {
-		c.Assert(targets.Evacuate(step.list), qt.Equals, step.news)
+		c.Assert(targets.SetEvacuated(step.list), qt.Equals, step.news)
 		c.Assert(in.evacuated(), qt.Equals, step.in)
 	}
 }
@@ -93,7 +93,7 @@
 	})
 	s.target("first", "z", func(w http.ResponseWriter, _ *http.Request) {
 		writeEvents(w, 1, 3)
-		s.targets.Evacuate(evacuated(2, "far"))
+		s.targets.SetEvacuated(evacuated(2, "far"))
 		panic(http.ErrAbortHandler)
 	})
 	_, body, err := s.ask("/a/x", "Most", "500")
@@ -109,7 +109,7 @@
 	s.target("t", "z", func(http.ResponseWriter, *http.Request) { t.Error("a request reached the target") })
 	r := New(Settings{Zone: "z"}, Ports{Live: &s.live, Targets: s.targets, Dialect: plainDialect{}, Observer: nopObserver{}})
 	target := s.targets.Of(service)[0]
-	s.targets.Evacuate(evacuated(1, "z"))
+	s.targets.SetEvacuated(evacuated(1, "z"))
 	x, outcome := r.send(context.Background(), &Request{}, &permit{target: target}, Directive{}, "first")
 	s.c.Assert(x, qt.IsNil)
 	s.c.Assert(outcome, qt.Equals, outcomeNotSent)
--- a/node/relay/limit.go
+++ b/node/relay/limit.go
@@ -180,9 +180,9 @@
 	Before, After targetlimit.Statement
 }
 
-// HearLimits applies the control group's list of the rate limits that targets have announced to
+// ApplyLimits applies the control group's list of the rate limits that targets have announced to
 // any relay. It returns the resulting changes.
-func (t *Targets) HearLimits(list state.TargetLimits) []LimitChange {
+func (t *Targets) ApplyLimits(list state.TargetLimits) []LimitChange {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	if list.Index < t.limitsIndex {
--- a/node/relay/limit_test.go
+++ b/node/relay/limit_test.go
@@ -47,7 +47,7 @@
 		return state.TargetLimit{}, errors.New(r.Message)
 	}
 	for _, t := range g.relays {
-		t.HearLimits(g.state.TargetLimits())
+		t.ApplyLimits(g.state.TargetLimits())
 	}
 	return *r.Limit, nil
 }
@@ -64,7 +64,7 @@
 func (s *fixture) join(g *localGroup, known directory.Record) *relayNode {
 	m := &relayNode{s: s, targets: NewTargets(), limits: NewLimitReports(g, nopObserver{})}
 	g.mu.Lock()
-	m.targets.HearLimits(g.state.TargetLimits())
+	m.targets.ApplyLimits(g.state.TargetLimits())
 	g.relays = append(g.relays, m.targets)
 	g.mu.Unlock()
 	m.targets.Update([]directory.Record{known})
