--- a/node/relay/coldstart_test.go
+++ b/node/relay/coldstart_test.go
@@ -57,7 +57,7 @@
 	s.c.Assert(cold.Load()+warm.Load(), qt.Equals, int64(burst))
 }
 
-// TestColdTargetGetsNothingWithoutALeader guards against relays that continue to send to cold
+// TestColdTargetGetsNothingWithoutALeader guards against entries that continue to send to cold
 // targets while the control group has no leader to count the total.
 func TestColdTargetGetsNothingWithoutALeader(t *testing.T) {
 	s := newFixture(t, routeconf.Route{Kind: routeconf.KindOnce, MaxTargets: 1}, noCopies)
--- a/node/relay/evacuation.go
+++ b/node/relay/evacuation.go
@@ -16,7 +16,7 @@
 // operator acts. How long that takes is unknown.
 const operatorRetryAfter = 5 * time.Second
 
-// evacuation is the list of evacuated availability zones that this relay applies.
+// evacuation is the list of evacuated availability zones that this entry process applies.
 type evacuation struct {
 	index uint64
 	zones map[api.Zone]struct{}
@@ -24,7 +24,7 @@
 
 // SetEvacuated applies a list of evacuated availability zones: targets in these zones receive
 // no new requests from then on. It returns false, and changes nothing, if the list is not newer
-// than the one in force: a lagging control member must not revert an order that this relay has
+// than the one in force: a lagging control member must not revert an order that this entry has
 // already applied.
 func (t *Targets) SetEvacuated(e state.Evacuated) bool {
 	next := &evacuation{index: e.Index, zones: make(map[api.Zone]struct{}, len(e.Zones))}
--- a/node/relay/limit.go
+++ b/node/relay/limit.go
@@ -27,7 +27,7 @@
 	maxReportAttempts = 20
 )
 
-// LimitReports reports the rate limits of targets to the control group, so that relays which
+// LimitReports reports the rate limits of targets to the control group, so that entries which
 // have not had a response from a target know its limit too. It is safe for concurrent use.
 type LimitReports struct {
 	to   LimitStater
@@ -46,7 +46,7 @@
 // processed in the meantime.
 func (l *LimitReports) Wait() { l.work.Wait() }
 
-// state reports the limit that this relay applies to a target to the control group, in the
+// state reports the limit that this entry applies to a target to the control group, in the
 // background. It does nothing if a report for the target is already in progress.
 func (l *LimitReports) state(t *Target) {
 	if !t.reportingLimit.CompareAndSwap(false, true) {
@@ -62,7 +62,7 @@
 }
 
 // send repeats the report until the control group has received it. Each attempt sends the limit
-// that this relay applies at that time. It returns the limit that was sent, and false if all
+// that this entry applies at that time. It returns the limit that was sent, and false if all
 // attempts failed.
 func (l *LimitReports) send(t *Target) (sent targetlimit.Limit, ok bool) {
 	var err error
@@ -91,7 +91,7 @@
 	return state.LimitStatement{Target: t.Target, Born: t.Born, Limited: b.Limited, Rate: b.Rate, Seen: b.Seen}
 }
 
-// view returns what this relay knows of the target's rate limit.
+// view returns what this entry knows of the target's rate limit.
 func (t *Target) view() targetlimit.View {
 	if v := t.limitView.Load(); v != nil {
 		return *v
@@ -99,10 +99,10 @@
 	return targetlimit.View{}
 }
 
-// limit returns the rate limit that this relay applies to the target.
+// limit returns the rate limit that this entry applies to the target.
 func (t *Target) limit() targetlimit.Limit { return t.view().Current.Limit }
 
-// updateView replaces the view atomically. It returns the limits that this relay applied before
+// updateView replaces the view atomically. It returns the limits that this entry applied before
 // and applies after the change.
 func (t *Target) updateView(change func(targetlimit.View) targetlimit.View) (before, after targetlimit.Statement) {
 	for {
@@ -163,7 +163,7 @@
 }
 
 // sendStart holds when a request was sent, and the log index of the target's limit that this
-// relay knew at that time.
+// entry process knew at that time.
 type sendStart struct {
 	at   time.Time
 	seen uint64
@@ -173,15 +173,15 @@
 	return sendStart{at: time.Now(), seen: t.view().Group.Index}
 }
 
-// LimitChange is a change of the limit that this relay applies to a target, caused by a list
-// from the control group.
+// LimitChange is a change of the limit that this entry process applies to a target, caused by a
+// list from the control group.
 type LimitChange struct {
 	Target        *Target
 	Before, After targetlimit.Statement
 }
 
 // ApplyLimits applies the control group's list of the rate limits that targets have announced to
-// any relay. It returns the resulting changes.
+// any entry process. It returns the resulting changes.
 func (t *Targets) ApplyLimits(list state.TargetLimits) []LimitChange {
 	t.mu.Lock()
 	defer t.mu.Unlock()
--- a/node/relay/limit_test.go
+++ b/node/relay/limit_test.go
@@ -20,12 +20,12 @@
 	qt "github.com/frankban/quicktest"
 )
 
-// localGroup is a control group of one member that updates the relays joined to it.
+// localGroup is a control group of one member that updates the entry processes joined to it.
 type localGroup struct {
 	localPool
-	mu     sync.Mutex
-	state  *state.State
-	relays []*Targets
+	mu      sync.Mutex
+	state   *state.State
+	entries []*Targets
 }
 
 func newLocalGroup() *localGroup {
@@ -46,26 +46,26 @@
 	if r.Reason != "" {
 		return state.TargetLimit{}, errors.New(r.Message)
 	}
-	for _, t := range g.relays {
+	for _, t := range g.entries {
 		t.ApplyLimits(g.state.TargetLimits())
 	}
 	return *r.Limit, nil
 }
 
-// relayNode is a relay with its own table of targets.
-type relayNode struct {
+// entryNode is an entry process with its own table of targets.
+type entryNode struct {
 	s       *fixture
 	url     string
 	targets *Targets
 	limits  *LimitReports
 }
 
-// join adds a relay that knows one target.
-func (s *fixture) join(g *localGroup, known directory.Record) *relayNode {
-	m := &relayNode{s: s, targets: NewTargets(), limits: NewLimitReports(g, nopObserver{})}
+// join adds an entry process that knows one target.
+func (s *fixture) join(g *localGroup, known directory.Record) *entryNode {
+	m := &entryNode{s: s, targets: NewTargets(), limits: NewLimitReports(g, nopObserver{})}
 	g.mu.Lock()
 	m.targets.ApplyLimits(g.state.TargetLimits())
-	g.relays = append(g.relays, m.targets)
+	g.entries = append(g.entries, m.targets)
 	g.mu.Unlock()
 	m.targets.Update([]directory.Record{known})
 	m.url = s.serve(New(Settings{Zone: "z"}, Ports{
@@ -76,7 +76,7 @@
 }
 
 // ask sends one request, and waits until the limit in its response has been reported.
-func (m *relayNode) ask() int {
+func (m *entryNode) ask() int {
 	resp, _, err := m.s.askAt(m.url, "/a/x")
 	m.s.c.Assert(err, qt.IsNil)
 	m.limits.Wait()
@@ -84,7 +84,7 @@
 }
 
 // burst sends n requests concurrently.
-func (m *relayNode) burst(n int) {
+func (m *entryNode) burst(n int) {
 	var all sync.WaitGroup
 	for range n {
 		all.Go(func() {
@@ -131,13 +131,13 @@
 // allowed bounds the requests that may reach the target within four seconds.
 const allowed = 1.5*testRate*4 + 5
 
-// TestLimitHoldsForTheSumOfAllEntries guards against relays that each send a target as many
+// TestLimitHoldsForTheSumOfAllEntries guards against entries that each send a target as many
 // requests as it accepts in total.
 func TestLimitHoldsForTheSumOfAllEntries(t *testing.T) {
-	const relays, each = 5, 40
+	const entries, each = 5, 40
 	s, g, target, own := newLimitedFixture(t, testRate)
-	var members []*relayNode
-	for range relays {
+	var members []*entryNode
+	for range entries {
 		m := s.join(g, own)
 		m.ask()
 		members = append(members, m)
@@ -151,9 +151,9 @@
 	s.c.Assert(float64(target.arrived.Load()) <= allowed, qt.IsTrue, qt.Commentf("%d", target.arrived.Load()))
 }
 
-// TestLimitIsKnownToEntriesWithoutAnAnswer guards against relays that ignore a target's limit
-// until they have a response of their own from it: both relays that have sent it nothing yet
-// and relays that start later.
+// TestLimitIsKnownToEntriesWithoutAnAnswer guards against entries that ignore a target's limit
+// until they have a response of their own from it: both entries that have sent it nothing yet
+// and entries that start later.
 func TestLimitIsKnownToEntriesWithoutAnAnswer(t *testing.T) {
 	const each = 40
 	s, g, target, own := newLimitedFixture(t, testRate)
@@ -164,7 +164,7 @@
 	s.c.Assert(float64(target.arrived.Load()) <= allowed, qt.IsTrue, qt.Commentf("%d", target.arrived.Load()))
 }
 
-// TestLimitIsLetGo guards against a limit that some relay applies after the target has removed
+// TestLimitIsLetGo guards against a limit that some entry applies after the target has removed
 // it, or applies to the next run of the target.
 func TestLimitIsLetGo(t *testing.T) {
 	const each = 40
@@ -184,14 +184,14 @@
 	informed.ask()
 	target.clearLimit()
 	own.Born++
-	for _, m := range []*relayNode{informed, other} {
+	for _, m := range []*entryNode{informed, other} {
 		m.targets.Update([]directory.Record{own})
 		m.burst(each)
 	}
 	s.c.Assert(target.arrived.Load(), qt.Equals, int64(2*each))
 }
 
-// TestLoweredLimitReachesAllEntries guards against relays that continue to apply a limit which
+// TestLoweredLimitReachesAllEntries guards against entries that continue to apply a limit which
 // the target has lowered.
 func TestLoweredLimitReachesAllEntries(t *testing.T) {
 	s, g, target, own := newLimitedFixture(t, 40)
@@ -204,7 +204,7 @@
 	s.c.Assert(float64(target.arrived.Load()) <= allowed, qt.IsTrue, qt.Commentf("%d", target.arrived.Load()))
 }
 
-// TestLimitIsLearned checks how a response changes the limit that a relay applies to a target.
+// TestLimitIsLearned checks how a response changes the limit that an entry applies to a target.
 func TestLimitIsLearned(t *testing.T) {
 	limit := targetlimit.Limit{Limited: true, Rate: testRate}
 	current := targetlimit.Statement{Limit: limit, Sent: time.Now().Add(-2 * time.Second), Received: time.Now().Add(-time.Second)}
@@ -346,10 +346,10 @@
 	return d.result, nil
 }
 
-// TestEntriesShareTheConnectionsOfATarget guards against relays whose idle connections together
+// TestEntriesShareTheConnectionsOfATarget guards against entries whose idle connections together
 // use up the connections that a target accepts.
 func TestEntriesShareTheConnectionsOfATarget(t *testing.T) {
-	for _, tt := range []struct{ accepts, relays, most int }{
+	for _, tt := range []struct{ accepts, entries, most int }{
 		{0, 320, upstream.MaxIdlePerTarget},
 		{252, 5, 25},
 		{572, 68, 4},
@@ -361,7 +361,7 @@
 		table, err := routeconf.Compile(config)
 		s.c.Assert(err, qt.IsNil)
 		s.live.Store(table)
-		s.targets.SetOthers(nil, tt.relays-1)
+		s.targets.SetOthers(nil, tt.entries-1)
 		r := New(Settings{}, Ports{Live: &s.live, Targets: s.targets})
 		s.c.Assert(r.maxIdleConns(&Target{Record: directory.Record{Service: service}}), qt.Equals, tt.most)
 	}
--- a/node/relay/migrate.go
+++ b/node/relay/migrate.go
@@ -210,7 +210,7 @@
 const copyTimeout = 3 * time.Second
 
 // copy copies the run. It continues after ctx ends: the destination would keep an interrupted
-// copy under an ID that this relay never learns.
+// copy under an ID that this entry never learns.
 func (s *streamRun) copy(ctx context.Context, l *leg, to *Target, stop bool) (Copy, error) {
 	if err := ctx.Err(); err != nil {
 		return Copy{}, err
@@ -247,7 +247,7 @@
 
 // copyUntilFast copies the run while it continues, and then repeatedly what was added since,
 // until a copy is fast or the drain notice is about to end. A slow copy of a few tokens means
-// that other relays are migrating runs over the link. If the run were stopped now, it would
+// that other entries are migrating runs over the link. If the run were stopped now, it would
 // wait for those copies, and so would the caller.
 func (s *streamRun) copyUntilFast(ctx context.Context, l *leg, to *Target) (made Copy, err error) {
 	until := l.target.noticeEnd()
@@ -272,8 +272,8 @@
 //
 // Concurrent copies share the engine's link, and each stopped run would wait for the long
 // copies of the others. If they are made one at a time, each caller sees only the pause for the
-// last tokens of its own run. Each relay waits for the time that the relays ahead of it need,
-// as estimated from the loads that they last reported.
+// last tokens of its own run. Each entry process waits for the time that the entry processes
+// ahead of it need, as estimated from the loads that they last reported.
 func (s *streamRun) acquireMigrationSlot(ctx context.Context, l *leg) bool {
 	select {
 	case l.target.migrationSlot <- struct{}{}:
@@ -299,7 +299,7 @@
 }
 
 // destination selects the engine to which the run is migrated, at random among all engines that
-// have room. Several relays migrate runs of the same engine at the same time; if all chose the
+// have room. Several entries migrate runs of the same engine at the same time; if all chose the
 // least loaded destination, their copies would wait for each other on its link until the drain
 // notice ends.
 func (s *streamRun) destination(exclude []*Target) *Target {
--- a/node/relay/permit.go
+++ b/node/relay/permit.go
@@ -10,7 +10,7 @@
 	"almondseam.dev/core/targetlimit"
 )
 
-// permit is the right to send one request to a target. Every send needs one, because no relay
+// permit is the right to send one request to a target. Every send needs one, because no entry
 // alone can count the requests that a target receives in total.
 type permit struct {
 	target *Target
@@ -35,10 +35,10 @@
 // permit acquires the right to send a request to a target. It returns false if there is
 // none at present; the target is then excluded for a while.
 //
-// A target that is cold or announces a rate limit seems idle to every relay, even when all
-// relays together overload it, because each of them sends only a few requests. Grants are
-// entries in the replicated log, so that their total is bounded however many relays there are
-// and whatever they know of each other. A relay that gets no answer from the control group
+// A target that is cold or announces a rate limit seems idle to every entry, even when all
+// entries together overload it, because each of them sends only a few requests. Grants are
+// recorded in the replicated log, so that their total is bounded however many entries there are
+// and whatever they know of each other. An entry that gets no answer from the control group
 // sends nothing.
 func (r *Relay) permit(ctx context.Context, req *Request, t *Target) (*permit, bool) {
 	p := &permit{target: t}
@@ -69,7 +69,7 @@
 	if v.OK {
 		p.grants = append(p.grants, grant)
 	} else if ctx.Err() == nil {
-		t.holdBack(targetlimit.RetryDelay(limit.Rate, r.targets.RelayCount(), v.RetryAfter, rand.Float64()))
+		t.holdBack(targetlimit.RetryDelay(limit.Rate, r.targets.EntryCount(), v.RetryAfter, rand.Float64()))
 	}
 	r.obs.LimitedSend(req, t, limit, v)
 	return v.OK
--- a/node/relay/place.go
+++ b/node/relay/place.go
@@ -18,7 +18,7 @@
 	choice := placement.Pick(r.candidates(req, list, exclude, now), placement.Need{
 		Zone:   r.settings.Zone,
 		Tokens: req.tokens,
-		Draws:  placement.DrawsFor(len(list), r.targets.RelayCount()),
+		Draws:  placement.DrawsFor(len(list), r.targets.EntryCount()),
 	}, rand.Float64)
 	if choice < 0 {
 		return nil
--- a/node/relay/ports.go
+++ b/node/relay/ports.go
@@ -2,14 +2,14 @@
 // requests, determines their route, customer and target, and forwards requests and responses
 // unchanged.
 //
-// Each routed entry process (see node/process) runs one Relay; comments call such a process a
-// relay. The control group is the set of processes that replicates the configuration, retry
-// grants, rate limits and evacuations. An engine is a target that serves a generative model: it
-// processes the prompt (prefill), generates tokens, and holds the state of each run in its KV
-// cache, which is measured in tokens. A run is the execution of one request at an engine. When
-// an engine drains, its streams are migrated: another engine continues the run from a copy of
-// its KV cache, which is either a standby copy, updated while the run grows, or a copy made on
-// demand.
+// An entry is a process that accepts callers' requests; each entry for routed traffic (see
+// node/process) runs one Relay. The control group is the set of processes that replicates the
+// configuration, retry grants, rate limits and evacuations. An engine is a target that serves a
+// generative model: it processes the prompt (prefill), generates tokens, and holds the state of
+// each run in its KV cache, which is measured in tokens. A run is the execution of one request
+// at an engine. When an engine drains, its streams are migrated: another engine continues the
+// run from a copy of its KV cache, which is either a standby copy, updated while the run grows,
+// or a copy made on demand.
 //
 // A Relay serves requests concurrently. The configuration and the lists of targets are read
 // without a lock and replaced as a whole.
@@ -43,7 +43,7 @@
 	LastEvent string
 }
 
-// Directive holds the parameters that a relay sends to a target in the header of a request.
+// Directive holds the parameters that an entry sends to a target in the header of a request.
 type Directive struct {
 	Target   api.TargetID
 	Customer api.CustomerID
@@ -115,7 +115,7 @@
 type Observer interface {
 	// Refused reports a request that was answered without having been run.
 	Refused(r *Request, status int, reason api.Reason)
-	// Held reports that a request waited at the relay for an engine with room.
+	// Held reports that a request waited at the entry for an engine with room.
 	Held(r *Request, waited time.Duration)
 	// NoRoom reports that an engine made no reservation for a request.
 	NoRoom(r *Request, t *Target, err error)
@@ -123,7 +123,7 @@
 	Sent(r *Request, t *Target, why string)
 	// ColdStart reports whether a request may be sent to a cold target.
 	ColdStart(r *Request, t *Target, v RetryVerdict)
-	// LimitChanged reports that this relay applies another limit to a target, either because of
+	// LimitChanged reports that this entry applies another limit to a target, either because of
 	// the response to r or, if r is nil, because of an update from the control group.
 	LimitChanged(r *Request, t *Target, before, after targetlimit.Statement)
 	// LimitNotStated reports that a target's limit could not be reported to the control group.
--- a/node/relay/relay.go
+++ b/node/relay/relay.go
@@ -62,7 +62,7 @@
 
 // Retry-After values for refused requests, used if no better value is known.
 const (
-	// retryNoConfig: a relay that has just started receives its configuration within a second.
+	// retryNoConfig: an entry that has just started receives its configuration within a second.
 	retryNoConfig = time.Second
 	// retryNoTarget: targets announce themselves about once a second.
 	retryNoTarget = 700 * time.Millisecond
@@ -144,7 +144,7 @@
 }
 
 const (
-	// startupWait is how long a request waits while this relay has no configuration, or knows
+	// startupWait is how long a request waits while this entry has no configuration, or knows
 	// no target of its service. After a start both arrive within a second, so that a caller
 	// that was refused would be served later than one that waits.
 	startupWait = 1200 * time.Millisecond
@@ -232,7 +232,7 @@
 	return false
 }
 
-// writeError writes an error response of the relay's own.
+// writeError writes an error response of the entry's own.
 func (r *Relay) writeError(req *Request, status int, reason api.Reason, retry time.Duration) {
 	h := req.writer.Header()
 	h.Set("Content-Type", "text/plain; charset=utf-8")
@@ -250,7 +250,7 @@
 func (r *Relay) endCancelled(req *Request) { r.obs.Ended(req, 0, string(api.ReasonCancelled)) }
 
 // upstreamHeader returns the header for a target: the caller's fields without the hop-by-hop
-// ones, and the relay's directive.
+// ones, and the entry's directive.
 func (r *Relay) upstreamHeader(req *Request, d Directive) http.Header {
 	h := make(http.Header, len(req.httpRequest.Header)+4)
 	for name, values := range req.httpRequest.Header {
--- a/node/relay/retries.go
+++ b/node/relay/retries.go
@@ -14,7 +14,7 @@
 )
 
 // Grantor grants retries, and requests to targets that are cold or rate limited, from the
-// budgets that all relays share. It is safe for concurrent use.
+// budgets that all entries share. It is safe for concurrent use.
 type Grantor interface {
 	// Retry requests one grant, or returns one. An error means that no answer arrived before
 	// ctx ended.
@@ -27,7 +27,7 @@
 	// end.
 	grantTimeout = 300 * time.Millisecond
 	// maxRefusalTime bounds how long a refusal by the control group applies to all requests for
-	// a grant at this relay.
+	// a grant at this entry.
 	maxRefusalTime = 100 * time.Millisecond
 	// returnTimeout bounds the attempts to return a retry that was not used.
 	returnTimeout = retrybudget.LeaseTime
@@ -35,8 +35,8 @@
 
 // The budget from which a retry was paid, as reported to the observer.
 const (
-	paidOwn  = "own"  // the relay's own, earned by the requests that it sends
-	paidPool = "pool" // the pool that all relays share
+	paidOwn  = "own"  // the entry's own, earned by the requests that it sends
+	paidPool = "pool" // the pool that all entries share
 )
 
 // Retry is the right to send one request: either again, or to a target that is cold or rate
@@ -59,7 +59,7 @@
 	// Reason is why the retry was not allowed: the budget was exhausted, or no control member
 	// answered in time.
 	Reason api.Reason
-	// Own holds the figures of this relay's own budget; Used and Allowed are those of the
+	// Own holds the figures of this entry's own budget; Used and Allowed are those of the
 	// shared pool, as reported by the leader of the control group.
 	Own     retrybudget.Verdict
 	Used    int
@@ -82,7 +82,7 @@
 	until  time.Time
 }
 
-// Retries holds this relay's own retry budgets, one for each service. It asks the control group
+// Retries holds this entry's own retry budgets, one for each service. It asks the control group
 // for retries beyond these, and for requests to targets that are cold or rate limited. It is
 // safe for concurrent use.
 type Retries struct {
@@ -113,7 +113,7 @@
 	r.ownBudget(s, now).First(now)
 }
 
-// Take acquires one retry, from this relay's own budget or else from the shared pool. It waits
+// Take acquires one retry, from this entry's own budget or else from the shared pool. It waits
 // a limited time for the answer of the control group.
 func (r *Retries) Take(ctx context.Context, s api.ServiceID, p retrybudget.Purpose) (Retry, RetryVerdict) {
 	began := time.Now()
@@ -133,7 +133,7 @@
 }
 
 // ForTarget acquires the right to send one request to a target that takes only rate requests
-// per second from all relays together.
+// per second from all entries together.
 func (r *Retries) ForTarget(ctx context.Context, p retrybudget.Purpose, s api.ServiceID, t api.TargetID, rate float64) (Retry, RetryVerdict) {
 	ask := retrybudget.Ask{Service: s, Purpose: p, Target: t, Rate: rate}
 	return r.askGroup(ctx, ask, RetryVerdict{}, time.Now())
@@ -161,7 +161,7 @@
 	return Retry{ask: ask, lease: lease, taken: began, paid: paidPool}, v
 }
 
-// takeOwn takes a retry from the relay's own budget. If that is exhausted and the control group
+// takeOwn takes a retry from the entry's own budget. If that is exhausted and the control group
 // has recently refused the same, the verdict has the reason of that refusal.
 func (r *Retries) takeOwn(s api.ServiceID, p retrybudget.Purpose, now time.Time) RetryVerdict {
 	r.mu.Lock()
--- a/node/relay/retries_test.go
+++ b/node/relay/retries_test.go
@@ -42,7 +42,7 @@
 		reason  api.Reason
 		asks    int
 	}{
-		{"from the relay's own budget", 10, scriptedGrantor{}, paidOwn, "", 0},
+		{"from the entry's own budget", 10, scriptedGrantor{}, paidOwn, "", 0},
 		{"from the shared pool", 9, scriptedGrantor{answer: retrybudget.Answer{Granted: true}, after: 5 * time.Millisecond}, paidPool, "", 1},
 		{"the shared pool is exhausted", 0, scriptedGrantor{answer: retrybudget.Answer{Reason: api.ReasonRetryBudget}}, "", api.ReasonRetryBudget, 1},
 		{"no member answers", 0, scriptedGrantor{after: time.Hour}, "", api.ReasonControlUnavailable, 1},
--- a/node/relay/room.go
+++ b/node/relay/room.go
@@ -57,7 +57,7 @@
 // awaitReservation finds an engine with room for a generation, and waits for one if there is
 // none. It returns nil if there is still none when the wait ends.
 //
-// Relays learn of each other's choices some milliseconds late, so several of them may choose
+// Entries learn of each other's choices some milliseconds late, so several of them may choose
 // the memory that one finished stream has freed. A reservation at the engine gives that memory
 // to one of them; the others try other engines instead of waiting there.
 func (r *Relay) awaitReservation(ctx context.Context, req *Request) *reservedTarget {
@@ -154,7 +154,7 @@
 	choice := placement.Pick(r.candidates(req, list, req.tried, now), placement.Need{
 		Zone:   r.settings.Zone,
 		Tokens: req.tokens,
-		Draws:  placement.DrawsFor(len(list), r.targets.RelayCount()),
+		Draws:  placement.DrawsFor(len(list), r.targets.EntryCount()),
 		Room:   placement.RoomFor(req.waiting(now), r.prefill.rate(req.Service)),
 	}, rand.Float64)
 	if choice < 0 {
--- a/node/relay/room_test.go
+++ b/node/relay/room_test.go
@@ -44,7 +44,7 @@
 }
 
 // TestRequestGoesWhereRoomIsSetAside guards against a request that waits at a full engine. Two
-// relays may choose the same free memory at the same time; the engine reserves it for one of
+// entries may choose the same free memory at the same time; the engine reserves it for one of
 // them, and the other's request has to go to another engine, with that engine's reservation in
 // its header.
 func TestRequestGoesWhereRoomIsSetAside(t *testing.T) {
@@ -99,7 +99,7 @@
 	c.Assert(l.rank("other", 1), qt.Equals, 0.5)
 }
 
-// TestGenerationWaitsForMemory checks that a generation waits at the relay while all engines
+// TestGenerationWaitsForMemory checks that a generation waits at the entry while all engines
 // are full, instead of preempting a running stream.
 func TestGenerationWaitsForMemory(t *testing.T) {
 	s := newFixture(t, routeconf.Route{Kind: routeconf.KindStream, MaxTargets: 1, Generates: true}, noCopies)
--- a/node/relay/send.go
+++ b/node/relay/send.go
@@ -69,17 +69,17 @@
 	return x, outcome
 }
 
-// idleConnShare is the fraction of the connections accepted by a target that all relays
+// idleConnShare is the fraction of the connections accepted by a target that all entries
 // together keep idle; the rest is left for peaks.
 const idleConnShare = 0.5
 
-// maxIdleConns returns how many idle connections to a target this relay may keep.
+// maxIdleConns returns how many idle connections to a target this entry may keep.
 func (r *Relay) maxIdleConns(t *Target) int {
 	accepts := r.service(t.Service).Connections
 	if accepts <= 0 {
 		return upstream.MaxIdlePerTarget
 	}
-	return max(int(idleConnShare*float64(accepts))/r.targets.RelayCount(), 1)
+	return max(int(idleConnShare*float64(accepts))/r.targets.EntryCount(), 1)
 }
 
 // ownsResponse reports whether a response belongs to the request: targets echo the request ID.
@@ -120,7 +120,7 @@
 //
 // An engine takes the memory for a more urgent request from a running stream, whose prompt must
 // then be processed again. So ranks have an effect only where nothing is preempted: in the
-// order in which waiting requests get room from the relay.
+// order in which waiting requests get room from the entry.
 const generationUrgency = 5
 
 // urgency returns the request's urgency at the engine, negative if it is not sent.
--- a/node/relay/targets.go
+++ b/node/relay/targets.go
@@ -16,14 +16,14 @@
 	"almondseam.dev/core/targetlimit"
 )
 
-// Target is one run of a target, from its start to its end, as this relay knows it.
+// Target is one run of a target, from its start to its end, as this entry process knows it.
 type Target struct {
 	directory.Record
 	draining atomic.Bool
 	// removed marks a target that no list may contain any longer; it is guarded by the table's
 	// lock.
 	removed bool
-	// drainingSince is when this relay learned that the target drains, in Unix nanoseconds.
+	// drainingSince is when this entry learned that the target drains, in Unix nanoseconds.
 	drainingSince atomic.Int64
 	// coldUntil is until when the target is cold, evacuationEnded when the evacuation of its
 	// zone ended, both in Unix nanoseconds, zero for never.
@@ -32,25 +32,25 @@
 	// heldBackUntil is until when no request is sent to the target because the control group
 	// refused a grant, in Unix nanoseconds.
 	heldBackUntil atomic.Int64
-	// limitView is what this relay knows of the target's rate limit, nil if nothing.
+	// limitView is what this entry knows of the target's rate limit, nil if nothing.
 	limitView atomic.Pointer[targetlimit.View]
 	// limitUnreadable is set while the target announces a limit that cannot be parsed.
 	limitUnreadable atomic.Bool
 	// reportingLimit is set while the limit is being reported to the control group.
 	reportingLimit atomic.Bool
-	// running to unbackedRuns are this relay's own load on the target.
+	// running to unbackedRuns are this entry's own load on the target.
 	running        atomic.Int64
 	tokens         atomic.Int64
 	unread         atomic.Int64
 	unbackedTokens atomic.Int64
 	// unbackedRuns counts the runs in unbackedTokens.
 	unbackedRuns atomic.Int64
-	// others is the load from other relays, as last reported.
+	// others is the load from other entry processes, as last reported.
 	others atomic.Pointer[fleetload.Load]
-	// ahead is what other relays migrate from the target before this one does, as known when
-	// the target began to drain; nil if nothing.
+	// ahead is what other entry processes migrate from the target before this one does, as
+	// known when the target began to drain; nil if nothing.
 	ahead atomic.Pointer[fleetload.Backlog]
-	// table is notified of changes of this relay's load.
+	// table is notified of changes of this entry's load.
 	table *Targets
 	// migrationSlot is held by the run that is being migrated from the target.
 	migrationSlot chan struct{}
@@ -67,8 +67,8 @@
 	list atomic.Pointer[[]*Target]
 }
 
-// Targets is this relay's table of targets. Reading the list of a service takes no lock.
-// Changing it copies the list of that service, without hashing.
+// Targets is the table of targets of this entry process. Reading the list of a service takes no
+// lock. Changing it copies the list of that service, without hashing.
 type Targets struct {
 	// services is copied when a service is added.
 	services atomic.Pointer[map[api.ServiceID]*serviceTargets]
@@ -76,27 +76,29 @@
 
 	mu   sync.Mutex
 	byID map[api.TargetID]*Target
-	// others holds the load from other relays, by target.
+	// others holds the load from other entry processes, by target.
 	others map[api.TargetID]fleetload.Sum
-	// limits holds the rate limits announced to any relay, as of the log index limitsIndex.
+	// limits holds the rate limits announced to any entry process, as of the log index
+	// limitsIndex.
 	limits      map[api.TargetID]state.TargetLimit
 	limitsIndex uint64
 
 	dirtyMu sync.Mutex
-	// dirty holds the targets on which this relay's load has changed since it was last taken.
+	// dirty holds the targets on which this entry's load has changed since it was last taken.
 	dirty map[api.TargetID]struct{}
 	// changed holds a token if a change is to be reported.
 	changed chan struct{}
-	// relays is the number of relays that have recently reported their load, plus this one.
-	relays atomic.Int64
+	// entries is the number of entry processes that have recently reported their load, plus
+	// this one.
+	entries atomic.Int64
 	// evacuation is nil before the first list of evacuated zones arrives.
 	evacuation atomic.Pointer[evacuation]
 }
 
-// assumedRelays is the assumed number of relays until the first load reports of other relays
-// arrive. A relay that assumed to be the only one would consider all targets for each choice;
+// assumedEntries is the assumed number of entry processes until the first load reports of others
+// arrive. An entry that assumed to be the only one would consider all targets for each choice;
 // so would others that have just started, and all would choose the same target.
-const assumedRelays = 6
+const assumedEntries = 6
 
 // NewTargets returns an empty table.
 func NewTargets() *Targets {
@@ -104,7 +106,7 @@
 		byID: make(map[api.TargetID]*Target), others: make(map[api.TargetID]fleetload.Sum),
 		dirty: make(map[api.TargetID]struct{}), changed: make(chan struct{}, 1),
 	}
-	t.relays.Store(assumedRelays)
+	t.entries.Store(assumedEntries)
 	t.services.Store(&map[api.ServiceID]*serviceTargets{})
 	return t
 }
@@ -282,7 +284,7 @@
 	t.markDirty(false)
 }
 
-// backlog returns what other relays migrate from the target before this one does.
+// backlog returns what other entry processes migrate from the target before this one does.
 func (t *Target) backlog() fleetload.Backlog {
 	if b := t.ahead.Load(); b != nil {
 		return *b
@@ -290,7 +292,7 @@
 	return fleetload.Backlog{}
 }
 
-// Load returns the load from all relays, as far as this one knows it.
+// Load returns the load from all entry processes, as far as this one knows it.
 func (t *Target) Load() fleetload.Load {
 	l := t.ownLoad()
 	if o := t.others.Load(); o != nil {
@@ -303,7 +305,7 @@
 	return fleetload.Load{Running: int(t.running.Load()), Tokens: int(t.tokens.Load()), Unread: int(t.unread.Load()), Moving: int(t.unbackedTokens.Load()), MovingRuns: int(t.unbackedRuns.Load())}
 }
 
-// Loads returns this relay's load on each target that has any, in the order of target IDs.
+// Loads returns this entry's load on each target that has any, in the order of target IDs.
 func (t *Targets) Loads() []fleetload.TargetLoad {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -318,7 +320,7 @@
 	return out
 }
 
-// ChangedLoads returns this relay's load on each target on which it has changed since the last
+// ChangedLoads returns this entry's load on each target on which it has changed since the last
 // call of ChangedLoads or Loads, in the order of target IDs.
 func (t *Targets) ChangedLoads() []fleetload.TargetLoad {
 	t.mu.Lock()
@@ -349,11 +351,11 @@
 	return taken
 }
 
-// Changed returns a channel that delivers a token after changes of this relay's load that are
+// Changed returns a channel that delivers a token after changes of this entry's load that are
 // to be reported soon.
 func (t *Targets) Changed() <-chan struct{} { return t.changed }
 
-// markDirty records that this relay's load on the target has changed. If report is true the
+// markDirty records that this entry's load on the target has changed. If report is true the
 // change is to be reported soon, else together with the next one.
 func (t *Target) markDirty(report bool) {
 	t.table.dirtyMu.Lock()
@@ -368,13 +370,13 @@
 	}
 }
 
-// RelayCount returns the number of relays, including this one.
-func (t *Targets) RelayCount() int { return int(t.relays.Load()) }
+// EntryCount returns the number of entry processes, including this one.
+func (t *Targets) EntryCount() int { return int(t.entries.Load()) }
 
-// SetOthers applies changed sums of the load from other relays; relays is the number of these
-// others.
-func (t *Targets) SetOthers(changed []fleetload.Sum, relays int) {
-	t.relays.Store(int64(relays) + 1)
+// SetOthers applies changed sums of the load from other entry processes; entries is the number
+// of these others.
+func (t *Targets) SetOthers(changed []fleetload.Sum, entries int) {
+	t.entries.Store(int64(entries) + 1)
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	for _, sum := range changed {
--- a/node/relay/targets_test.go
+++ b/node/relay/targets_test.go
@@ -49,7 +49,7 @@
 }
 
 // TestChangedLoadsComeToTheWhole guards against an unreported change of load, because of which
-// other relays would keep a wrong load of this one for ever.
+// other entries would keep a wrong load of this one for ever.
 func TestChangedLoadsComeToTheWhole(t *testing.T) {
 	c := qt.New(t)
 	rng := rand.New(rand.NewPCG(2, 3))
