--- a/core/state/bench_test.go
+++ b/core/state/bench_test.go
@@ -16,8 +16,8 @@
 	}}
 }
 
-// full is a state with as many claims as it can hold.
-func full(b *testing.B) *State {
+// fullState returns a state with the maximum number of claims.
+func fullState(b *testing.B) *State {
 	l := newLog(b)
 	for n := range DefaultLimits().Claim.MaxClaims {
 		if r := l.apply(claimCommand(n)); r.Claim.Verdict != claim.Granted {
@@ -27,18 +27,19 @@
 	return l.s
 }
 
-// BenchmarkFreeze measures how long a snapshot of a full claims table holds up a
-// member.
+// BenchmarkFreeze measures how long a member cannot apply commands while the state
+// with a full claims table is copied for a snapshot.
 func BenchmarkFreeze(b *testing.B) {
-	s := full(b)
+	s := fullState(b)
 	for b.Loop() {
 		s.Freeze()
 	}
 }
 
-// BenchmarkSnapshot measures a whole snapshot of a full claims table, and its size.
+// BenchmarkSnapshot measures copying and encoding a full claims table, and reports
+// the size of the snapshot.
 func BenchmarkSnapshot(b *testing.B) {
-	s := full(b)
+	s := fullState(b)
 	for b.Loop() {
 		data, err := s.Snapshot()
 		if err != nil {
@@ -48,9 +49,9 @@
 	}
 }
 
-// BenchmarkRestore measures the other end of it.
+// BenchmarkRestore measures restoring a snapshot of a full claims table.
 func BenchmarkRestore(b *testing.B) {
-	data, err := full(b).Snapshot()
+	data, err := fullState(b).Snapshot()
 	if err != nil {
 		b.Fatal(err)
 	}
@@ -61,7 +62,7 @@
 	}
 }
 
-// BenchmarkApplyClaim measures one claim's decoding and granting.
+// BenchmarkApplyClaim measures encoding, decoding and granting one claim.
 func BenchmarkApplyClaim(b *testing.B) {
 	l := DefaultLimits()
 	l.Claim.MaxClaims, l.Claim.MaxPerCustomer = 1<<30, 1<<30
--- a/core/state/config.go
+++ b/core/state/config.go
@@ -8,26 +8,27 @@
 	"almondseam.dev/core/order"
 )
 
-// ConfigPut asks for a new configuration on top of revision Base. The document
-// is opaque here; whoever proposes it has validated it. ChangeID is the
-// operator's own and names this change for ever: sent again, it gets its first
-// answer.
+// ConfigPut proposes a new configuration based on revision Base. The document
+// is opaque to this package; the proposer has validated it. ChangeID is chosen
+// by the operator and identifies the change: a put that repeats a remembered ID
+// with the same document gets the first answer.
 type ConfigPut struct {
 	ChangeID string       `cbor:"1,keyasint"`
 	Author   string       `cbor:"2,keyasint"`
 	Base     api.Revision `cbor:"3,keyasint"`
 	Document []byte       `cbor:"4,keyasint"`
-	// Pace is that of loads by the document, as the member that validated it
-	// reads it; nil leaves the pace as it is.
+	// Pace is the pace of loads that the document sets, as parsed by the member
+	// that validated it. Nil leaves the pace unchanged.
 	Pace *order.Pace `cbor:"5,keyasint,omitempty"`
-	// Version is the operator's own number of the document. Above zero it takes
-	// the place of Base and ChangeID: the highest version is in force, and one at
-	// or below it is accepted without effect.
+	// Version is the version number that the operator gave the document. Above
+	// zero it replaces Base and ChangeID: the highest version is in force, and a
+	// put at or below that version is accepted without effect.
 	Version uint64 `cbor:"6,keyasint,omitempty"`
 }
 
-// ConfigResult answers a ConfigPut. Revision is the one made, or on a refusal
-// the one that stood in the way, with its author and change ID.
+// ConfigResult answers a ConfigPut. Revision is the revision that the put made.
+// On a refusal it is the revision in force, with its author and change ID if the
+// base was stale; for a reused change ID it is the revision of the first answer.
 type ConfigResult struct {
 	Accepted bool         `cbor:"1,keyasint"`
 	Repeated bool         `cbor:"2,keyasint,omitempty"`
@@ -36,7 +37,7 @@
 	ChangeID string       `cbor:"5,keyasint,omitempty"`
 	Reason   api.Reason   `cbor:"6,keyasint,omitempty"`
 	Message  string       `cbor:"7,keyasint,omitempty"`
-	// Version is the operator's version in force after a versioned put.
+	// Version is the operator's version number in force after a versioned put.
 	Version uint64 `cbor:"8,keyasint,omitempty"`
 }
 
@@ -49,45 +50,46 @@
 	// Wall is the leader's wall clock at acceptance, Unix milliseconds.
 	Wall int64 `cbor:"5,keyasint"`
 	Size int   `cbor:"6,keyasint"`
-	// Document is nil once only the history line is kept.
+	// Document is nil once only the metadata of the revision is kept.
 	Document []byte `cbor:"7,keyasint,omitempty"`
-	// Version is the operator's own number, zero for a put without one.
+	// Version is the operator's version number, zero for a put without one.
 	Version uint64 `cbor:"8,keyasint,omitempty"`
 }
 
-// ConfigLimits bound what is remembered of configurations.
+// ConfigLimits bounds the size and the number of configurations kept.
 type ConfigLimits struct {
 	// MaxDocument bounds one document in bytes.
 	MaxDocument int
-	// Documents and History are how many revisions are kept whole, and as a
-	// line of history.
+	// Documents is the number of revisions kept with their document, History
+	// the number kept at all; the older ones of these hold only metadata.
 	Documents int
 	History   int
-	// Changes is how many change IDs are remembered. At 13,000 changes a day
+	// Changes is the number of change IDs remembered. At 13,000 changes a day
 	// the default covers two and a half days.
 	Changes int
 }
 
-// DefaultConfigLimits suit documents of up to a few hundred kilobytes.
+// DefaultConfigLimits returns limits for documents of up to a few hundred
+// kilobytes.
 func DefaultConfigLimits() ConfigLimits {
 	return ConfigLimits{MaxDocument: 512 << 10, Documents: 8, History: 512, Changes: 32_768}
 }
 
-// change is the memory of one change ID: a digest of what was asked, and the
-// first answer.
+// change is the record of one change ID: the digest of the proposed document
+// and the first answer.
 type change struct {
 	ChangeID string       `cbor:"1,keyasint"`
 	Digest   [32]byte     `cbor:"2,keyasint"`
 	Result   ConfigResult `cbor:"3,keyasint"`
 }
 
-// configs holds the accepted revisions, newest last, and the change memory in
-// the order of arrival.
+// configs holds the accepted revisions, newest last, and the remembered changes
+// in the order in which they were applied.
 type configs struct {
-	limits  ConfigLimits
-	kept    []Config
-	changes []change
-	byID    map[string]change
+	limits    ConfigLimits
+	revisions []Config
+	changes   []change
+	byID      map[string]change
 }
 
 func newConfigs(l ConfigLimits) configs {
@@ -95,23 +97,24 @@
 }
 
 func (c *configs) current() Config {
-	if len(c.kept) == 0 {
+	if len(c.revisions) == 0 {
 		return Config{}
 	}
-	return c.kept[len(c.kept)-1]
+	return c.revisions[len(c.revisions)-1]
 }
 
-// put accepts or refuses a change, and remembers the answer.
+// put decides a change and remembers the answer, unless the put itself is invalid.
 //
-// An operator who sends an accepted change again, as its answer was lost, gets that answer. The
-// memory is part of the snapshot, so neither a compaction nor a new leader forgets it.
+// An operator who repeats a change because the answer was lost gets the first answer. The
+// remembered changes are part of the snapshot, so they survive a log compaction and a change
+// of leader.
 func (c *configs) put(index uint64, wall int64, p *ConfigPut) ConfigResult {
 	if p.Version > 0 {
 		return c.putVersion(index, wall, p)
 	}
 	digest := p.digest()
 	if known, ok := c.byID[p.ChangeID]; ok {
-		return repeat(known, digest)
+		return repeatedResult(known, digest)
 	}
 	if bad := c.check(p); bad != nil {
 		return *bad
@@ -121,10 +124,11 @@
 	return r
 }
 
-// putVersion accepts a document under the operator's own version.
+// putVersion accepts a document under the operator's version number.
 //
-// Only a higher version changes anything, so repetitions and latecomers have no effect in
-// whatever order they arrive, and other content under the version held is never read back.
+// Only a version above the one in force changes anything. Duplicates and late puts therefore
+// have no effect in any order of arrival, and other content under the version in force is
+// dropped.
 func (c *configs) putVersion(index uint64, wall int64, p *ConfigPut) ConfigResult {
 	cur := c.current()
 	if p.Version <= cur.Version {
@@ -137,7 +141,9 @@
 	return ConfigResult{Accepted: true, Revision: c.current().Revision, Version: p.Version}
 }
 
-func repeat(known change, digest [32]byte) ConfigResult {
+// repeatedResult returns the first answer for a remembered change ID, or a refusal if
+// the ID was used with another document.
+func repeatedResult(known change, digest [32]byte) ConfigResult {
 	if known.Digest != digest {
 		return ConfigResult{
 			Revision: known.Result.Revision,
@@ -186,7 +192,7 @@
 	return ConfigResult{Accepted: true, Revision: c.current().Revision, Author: p.Author, ChangeID: p.ChangeID}
 }
 
-// append makes the next revision.
+// append adds the document of p as the next revision.
 func (c *configs) append(index uint64, wall int64, p *ConfigPut) {
 	next := Config{
 		Revision: c.current().Revision + 1,
@@ -198,16 +204,18 @@
 		Document: p.Document,
 		Version:  p.Version,
 	}
-	c.kept = append(c.kept, next)
+	c.revisions = append(c.revisions, next)
 	c.trim()
 }
 
+// trim drops the document that exceeds limits.Documents and the revision that
+// exceeds limits.History.
 func (c *configs) trim() {
-	if old := len(c.kept) - 1 - c.limits.Documents; old >= 0 {
-		c.kept[old].Document = nil
+	if old := len(c.revisions) - 1 - c.limits.Documents; old >= 0 {
+		c.revisions[old].Document = nil
 	}
-	if len(c.kept) > c.limits.History {
-		c.kept = append([]Config(nil), c.kept[1:]...)
+	if len(c.revisions) > c.limits.History {
+		c.revisions = append([]Config(nil), c.revisions[1:]...)
 	}
 }
 
@@ -220,22 +228,24 @@
 	}
 }
 
-// digest tells changes under one ID apart by what they would put in force. The
-// base is not in it: an operator who repeats the same command after a lost answer
-// names the revision that is now in force, which may be the change itself, and
-// must still get the first answer.
+// digest returns the digest of the document, which tells apart different changes
+// under one ID. It leaves out the base: an operator who repeats a command after a
+// lost answer names the revision that is now in force, which may be the one that
+// the command made, and must still get the first answer.
 func (p *ConfigPut) digest() [32]byte { return sha256.Sum256(p.Document) }
 
-// Current gives the configuration in force; its Revision is 0 when there is none.
+// Current returns the configuration in force; its Revision is 0 if there is none.
 func (s *State) Current() Config { return s.config.current() }
 
-// History gives the revisions still known, oldest first. It is read-only.
-func (s *State) History() []Config { return s.config.kept }
+// History returns the revisions still kept, oldest first. The caller must not
+// modify the slice.
+func (s *State) History() []Config { return s.config.revisions }
 
-// Revision gives an accepted revision whose document is still kept.
+// Revision returns an accepted revision and reports whether its document is still
+// kept.
 func (s *State) Revision(r api.Revision) (Config, bool) {
-	for i := len(s.config.kept) - 1; i >= 0; i-- {
-		c := s.config.kept[i]
+	for i := len(s.config.revisions) - 1; i >= 0; i-- {
+		c := s.config.revisions[i]
 		if c.Revision == r {
 			return c, c.Document != nil
 		}
--- a/core/state/drain.go
+++ b/core/state/drain.go
@@ -6,11 +6,12 @@
 	"almondseam.dev/core/api"
 )
 
-// maxDrains bounds the targets being drained at one time.
+// maxDrains bounds the number of targets that are being drained.
 const maxDrains = 10_000
 
-// Drain asks that a target get no new work. With an Incarnation the drain ends
-// when the target comes back; with 0 it lasts until it is undone.
+// Drain stops new work from being sent to a target. A drain with an Incarnation
+// ends when the target comes back under another one; a drain with 0 lasts until
+// a Drain with Undo is applied.
 type Drain struct {
 	Target      api.TargetID    `cbor:"1,keyasint"`
 	Incarnation api.Incarnation `cbor:"2,keyasint,omitempty"`
@@ -18,11 +19,12 @@
 	Author      string          `cbor:"4,keyasint,omitempty"`
 }
 
+// drain applies a Drain.
 func (s *State) drain(index uint64, d Drain) Result {
 	if d.Target == "" {
 		return Result{Reason: api.ReasonBadRequest, Message: "target is empty"}
 	}
-	s.drained = index
+	s.drainIndex = index
 	if d.Undo {
 		delete(s.drains, d.Target)
 		return Result{}
@@ -34,10 +36,11 @@
 	return Result{}
 }
 
-// Drained is the log index of the last change to Drains, or a later one.
-func (s *State) Drained() uint64 { return s.drained }
+// Drained returns the log index of the last change to Drains. After a restore it
+// is the index of the snapshot, which may be higher.
+func (s *State) Drained() uint64 { return s.drainIndex }
 
-// Drains gives the targets being drained, by ID.
+// Drains returns the drains in force, sorted by target ID.
 func (s *State) Drains() []Drain {
 	out := make([]Drain, 0, len(s.drains))
 	for _, d := range s.drains {
--- a/core/state/evacuation.go
+++ b/core/state/evacuation.go
@@ -8,19 +8,20 @@
 )
 
 const (
-	// maxEvacuations bounds the availability zones whose last order is remembered.
+	// maxEvacuations bounds the number of availability zones whose last order is
+	// remembered.
 	maxEvacuations = 256
-	// maxZoneName bounds the name of an availability zone, in bytes.
+	// maxZoneName is the maximum length of an availability zone's name in bytes.
 	maxZoneName = 128
 )
 
-// Evacuation asks that the targets of an availability zone get no new work, or with
-// Finish that they may get it again. The same order may be made again.
+// Evacuation orders that the targets of an availability zone get no new work, or with
+// Finish that they may get new work again. Repeating an order has no further effect.
 type Evacuation struct {
 	Zone   api.Zone `cbor:"1,keyasint"`
 	Finish bool     `cbor:"2,keyasint,omitempty"`
-	// Base is the log index that the member which received the order had applied; zero
-	// compares nothing.
+	// Base is the log index that the member had applied when it received the order from
+	// the operator. Zero disables the check for a newer order.
 	Base   uint64 `cbor:"3,keyasint,omitempty"`
 	Author string `cbor:"4,keyasint,omitempty"`
 }
@@ -28,15 +29,15 @@
 // ZoneOrder is the last order that took effect for an availability zone.
 type ZoneOrder struct {
 	Zone api.Zone `cbor:"1,keyasint"`
-	// Evacuated tells that the zone's targets get no new work.
+	// Evacuated is set if the zone's targets get no new work.
 	Evacuated bool `cbor:"2,keyasint,omitempty"`
 	// Index is the log index of the order.
 	Index  uint64 `cbor:"3,keyasint"`
 	Author string `cbor:"4,keyasint,omitempty"`
 }
 
-// Evacuated lists the availability zones whose targets get no new work. A list with a
-// lower Index than one seen before is out of date.
+// Evacuated lists the availability zones whose targets get no new work. A receiver
+// ignores a list whose Index is lower than that of a list it already has.
 type Evacuated struct {
 	// Index is the log index of the last order that changed the list, zero before the
 	// first.
@@ -44,11 +45,11 @@
 	Zones []api.Zone `cbor:"2,keyasint,omitempty"`
 }
 
-// evacuate carries out an order.
+// evacuate applies an order.
 //
-// An order that was held up on its way must not undo what was confirmed after it: one whose
-// member had not seen the opposite order is refused, and an operator that still wants it sends
-// it again.
+// A delayed order must not undo an opposite one that was confirmed after the delayed order was
+// received. An order is therefore refused if the zone's last order has a log index above its
+// Base; an operator who still wants it sends it again.
 func (s *State) evacuate(index uint64, e Evacuation) Result {
 	if e.Zone == "" || len(e.Zone) > maxZoneName {
 		return Result{Reason: api.ReasonBadRequest, Message: fmt.Sprintf("zone %q is no name of an availability zone", e.Zone)}
@@ -64,14 +65,15 @@
 		return Result{Reason: api.ReasonQueueFull, Message: "too many zones have been evacuated"}
 	}
 	s.zones[e.Zone] = ZoneOrder{Zone: e.Zone, Evacuated: !e.Finish, Index: index, Author: e.Author}
-	s.evacuated = index
+	s.evacuationIndex = index
 	return Result{}
 }
 
-// EvacuatedAt is Evacuated().Index.
-func (s *State) EvacuatedAt() uint64 { return s.evacuated }
+// EvacuatedAt returns Evacuated().Index without building the list.
+func (s *State) EvacuatedAt() uint64 { return s.evacuationIndex }
 
-// ZoneOrders gives the last order for each availability zone that had one, by name.
+// ZoneOrders returns the last order of each availability zone that has had one, sorted by
+// zone name.
 func (s *State) ZoneOrders() []ZoneOrder {
 	out := make([]ZoneOrder, 0, len(s.zones))
 	for _, z := range s.zones {
@@ -81,9 +83,9 @@
 	return out
 }
 
-// Evacuated gives the availability zones whose targets get no new work, by name.
+// Evacuated returns the availability zones whose targets get no new work, sorted by name.
 func (s *State) Evacuated() Evacuated {
-	out := Evacuated{Index: s.evacuated}
+	out := Evacuated{Index: s.evacuationIndex}
 	for _, z := range s.ZoneOrders() {
 		if z.Evacuated {
 			out.Zones = append(out.Zones, z.Zone)
@@ -92,10 +94,10 @@
 	return out
 }
 
-// restoreZones takes the orders of a snapshot.
+// restoreZones loads the zone orders of a snapshot.
 func (s *State) restoreZones(orders []ZoneOrder) {
 	for _, z := range orders {
 		s.zones[z.Zone] = z
-		s.evacuated = max(s.evacuated, z.Index)
+		s.evacuationIndex = max(s.evacuationIndex, z.Index)
 	}
 }
--- a/core/state/evacuation_test.go
+++ b/core/state/evacuation_test.go
@@ -14,8 +14,8 @@
 
 func (l *log) evacuate(e Evacuation) Result { return l.apply(Command{Evacuation: &e}) }
 
-// What each order comes to; late is an order that a member received before the last one
-// took effect.
+// Checks the result of each order and the zones evacuated at the end. A late order is one
+// that its member received before the previous order took effect.
 func TestEvacuationOrders(t *testing.T) {
 	const start, finish = false, true
 	type step struct {
@@ -31,17 +31,17 @@
 	}{
 		{"start", []step{{zone: "a"}}, []api.Zone{"a"}},
 		{"start again", []step{{zone: "a"}, {zone: "a"}}, []api.Zone{"a"}},
-		{"a late repetition", []step{{zone: "a"}, {zone: "a", late: true}}, []api.Zone{"a"}},
+		{"late duplicate", []step{{zone: "a"}, {zone: "a", late: true}}, []api.Zone{"a"}},
 		{"finish", []step{{zone: "a"}, {zone: "a", finish: finish}}, nil},
 		{"finish again", []step{{zone: "a"}, {zone: "a", finish: finish}, {zone: "a", finish: finish}}, nil},
 		{"finish without a start", []step{{zone: "a", finish: finish}}, nil},
-		{"start, finish, and the start comes late", []step{{zone: "a"}, {zone: "a", finish: finish}, {zone: "a", finish: start, late: true, want: api.ReasonStaleFence}}, nil},
-		{"finish first, and the start comes late", []step{{zone: "a", finish: finish}, {zone: "a", finish: start, late: true, want: api.ReasonStaleFence}}, nil},
-		{"start anew, and the finish comes late", []step{{zone: "a"}, {zone: "a", finish: finish}, {zone: "a"}, {zone: "a", finish: finish, late: true, want: api.ReasonStaleFence}}, []api.Zone{"a"}},
-		{"an order for another zone in between", []step{{zone: "a"}, {zone: "b"}, {zone: "a", finish: finish, late: false}}, []api.Zone{"b"}},
+		{"start, finish, late start", []step{{zone: "a"}, {zone: "a", finish: finish}, {zone: "a", finish: start, late: true, want: api.ReasonStaleFence}}, nil},
+		{"finish, late start", []step{{zone: "a", finish: finish}, {zone: "a", finish: start, late: true, want: api.ReasonStaleFence}}, nil},
+		{"start, finish, start, late finish", []step{{zone: "a"}, {zone: "a", finish: finish}, {zone: "a"}, {zone: "a", finish: finish, late: true, want: api.ReasonStaleFence}}, []api.Zone{"a"}},
+		{"order for another zone in between", []step{{zone: "a"}, {zone: "b"}, {zone: "a", finish: finish, late: false}}, []api.Zone{"b"}},
 		{"all zones", []step{{zone: "c"}, {zone: "a"}, {zone: "b"}}, []api.Zone{"a", "b", "c"}},
-		{"no name", []step{{zone: "", want: api.ReasonBadRequest}}, nil},
-		{"a name too long", []step{{zone: api.Zone(strings.Repeat("z", maxZoneName+1)), want: api.ReasonBadRequest}}, nil},
+		{"empty name", []step{{zone: "", want: api.ReasonBadRequest}}, nil},
+		{"name too long", []step{{zone: api.Zone(strings.Repeat("z", maxZoneName+1)), want: api.ReasonBadRequest}}, nil},
 	} {
 		t.Run(tt.name, func(t *testing.T) {
 			c := qt.New(t)
@@ -61,7 +61,8 @@
 	}
 }
 
-// The zones whose last order is remembered are bounded.
+// Guards against unbounded growth: beyond maxEvacuations a new zone is refused, while a zone
+// already known is accepted.
 func TestEvacuationsAreBounded(t *testing.T) {
 	c := qt.New(t)
 	l := newLog(t)
@@ -72,8 +73,9 @@
 	c.Assert(l.evacuate(Evacuation{Zone: "0", Finish: true}).Reason, qt.Equals, api.Reason(""))
 }
 
-// TestEvacuationIndexNeverGoesBack guards against an entry that takes an older list for a
-// newer one, as after a snapshot that forgets when the last order took effect.
+// TestEvacuationIndexNeverGoesBack guards against an index that decreases or stays the same
+// while the list changes, as after restoring a snapshot without the index of the last order.
+// An entry instance would then take an older list for a newer one.
 func TestEvacuationIndexNeverGoesBack(t *testing.T) {
 	for seed := range uint64(200) {
 		r := rand.New(rand.NewPCG(seed, 3))
--- a/core/state/limits.go
+++ b/core/state/limits.go
@@ -10,32 +10,35 @@
 )
 
 const (
-	// maxTargetLimits bounds the targets whose limits are remembered.
+	// maxTargetLimits bounds the number of targets whose limits are kept.
 	maxTargetLimits = 8192
-	// limitKept is for how long a limit is remembered that nobody states again.
-	limitKept = time.Minute
-	// LimitStatedEvery is after how long an entry that goes on hearing the same states it
-	// again.
-	LimitStatedEvery = limitKept / 3
-	// limitFresh is for how long after a statement the same one changes nothing.
-	limitFresh = LimitStatedEvery / 2
-	// maxTargetName bounds the name of a target, in bytes.
+	// limitTTL is how long a limit is kept after it was last stated.
+	limitTTL = time.Minute
+	// LimitStatedEvery is the interval at which an entry instance states an unchanged limit
+	// again while the target keeps naming it.
+	LimitStatedEvery = limitTTL / 3
+	// limitRefreshAfter is the time since the last statement from which an equal one extends
+	// the limit's TTL; before that it has no effect and need not enter the log.
+	limitRefreshAfter = LimitStatedEvery / 2
+	// maxTargetName is the maximum length of a target ID in bytes.
 	maxTargetName = 128
 )
 
-// LimitStatement tells what one answer of a target says of its limit. It may be made again.
+// LimitStatement reports the limit, or its absence, that a target stated in an answer. It may
+// be proposed more than once.
 type LimitStatement struct {
 	Target api.TargetID `cbor:"1,keyasint"`
-	// Born is the start of the target's run, Unix milliseconds.
+	// Born is the start time of the target's process in Unix milliseconds.
 	Born    int64 `cbor:"2,keyasint,omitempty"`
 	Limited bool  `cbor:"3,keyasint,omitempty"`
 	// Rate is the limit in requests a second.
 	Rate float64 `cbor:"4,keyasint,omitempty"`
-	// Seen is the Index of the target's limit that the sender of the request knew then.
+	// Seen is the Index of the TargetLimit that the entry instance knew when it sent the
+	// request that was answered.
 	Seen uint64 `cbor:"5,keyasint,omitempty"`
 }
 
-// TargetLimit is what is known of the limit of one target.
+// TargetLimit is the replicated limit of one target.
 type TargetLimit struct {
 	Target  api.TargetID `cbor:"1,keyasint"`
 	Born    int64        `cbor:"2,keyasint,omitempty"`
@@ -43,18 +46,19 @@
 	Rate    float64      `cbor:"4,keyasint,omitempty"`
 	// Index is the log index of the last change.
 	Index uint64 `cbor:"5,keyasint"`
-	// Stated is when it was last stated, replicated milliseconds.
+	// Stated is the replicated time in milliseconds of the last statement that changed or
+	// refreshed the limit.
 	Stated int64 `cbor:"6,keyasint"`
 }
 
-// TargetLimits are the limits that targets name, by target.
+// TargetLimits is the list of the limits kept, sorted by target.
 type TargetLimits struct {
 	// Index is the log index of the last change, zero before the first.
 	Index uint64        `cbor:"1,keyasint,omitempty"`
 	List  []TargetLimit `cbor:"2,keyasint,omitempty"`
 }
 
-// Known gives the limit as entries are told of it.
+// Known returns the limit in the form that entry instances use.
 func (t TargetLimit) Known() targetlimit.Known {
 	return targetlimit.Known{Limit: targetlimit.Limit{Limited: t.Limited, Rate: t.Rate}, Index: t.Index}
 }
@@ -67,7 +71,7 @@
 	return l.Target != "" && len(l.Target) <= maxTargetName && l.Rate >= 0 && (l.Limited || l.Rate == 0)
 }
 
-// limit carries out a statement.
+// limit applies a statement.
 func (s *State) limit(index uint64, l LimitStatement) Result {
 	if !l.valid() {
 		return Result{Reason: api.ReasonBadRequest, Message: "the statement names no target, or no limit"}
@@ -75,13 +79,13 @@
 	s.expireLimits()
 	known, found := s.targetLimits[l.Target]
 	switch {
-	case s.limitIsNews(l):
+	case s.changesLimit(l):
 		if !found && len(s.targetLimits) >= maxTargetLimits {
 			return Result{Reason: api.ReasonQueueFull, Message: "too many targets name limits"}
 		}
 		known = TargetLimit{Target: l.Target, Born: l.Born, Limited: l.Limited, Rate: l.Rate, Index: index, Stated: s.now}
-		s.limitsAt = index
-	case s.limitIsStale(s.now, l):
+		s.limitsIndex = index
+	case s.refreshesLimit(s.now, l):
 		known.Stated = s.now
 	default:
 		return Result{Limit: s.knownLimit(l)}
@@ -90,8 +94,9 @@
 	return Result{Limit: &known}
 }
 
-// limitIsNews tells whether entries have to be told of a statement.
-func (s *State) limitIsNews(l LimitStatement) bool {
+// changesLimit reports whether a statement changes the target's limit, so that entry
+// instances have to be notified.
+func (s *State) changesLimit(l LimitStatement) bool {
 	known, found := s.targetLimits[l.Target]
 	switch {
 	case !found || known.Born < l.Born:
@@ -102,46 +107,49 @@
 	return known.Known().Accepts(l.limit(), l.Seen)
 }
 
-// limitIsStale tells whether a statement repeats what was stated long ago.
-func (s *State) limitIsStale(now int64, l LimitStatement) bool {
+// refreshesLimit reports whether a statement repeats a limit that was last stated at least
+// limitRefreshAfter ago.
+func (s *State) refreshesLimit(now int64, l LimitStatement) bool {
 	known, found := s.targetLimits[l.Target]
-	return found && known.Born == l.Born && known.Known().Limit == l.limit() && now-known.Stated >= limitFresh.Milliseconds()
+	return found && known.Born == l.Born && known.Known().Limit == l.limit() && now-known.Stated >= limitRefreshAfter.Milliseconds()
 }
 
-// LimitChanges tells whether a statement at a replicated time would change anything, and what
-// is known if it would not.
+// LimitChanges reports whether a statement at a replicated time changes or refreshes the
+// target's limit. If not, the statement need not be proposed, and the result holds the limit
+// kept.
 func (s *State) LimitChanges(now int64, l LimitStatement) (Result, bool) {
-	if s.limitIsNews(l) || s.limitIsStale(now, l) {
+	if s.changesLimit(l) || s.refreshesLimit(now, l) {
 		return Result{}, true
 	}
 	return Result{Limit: s.knownLimit(l)}, false
 }
 
-// knownLimit gives what is known of the limit of a target's run; where that is nothing, as of
-// the last change of any limit.
+// knownLimit returns the limit kept for the target and the start time of l. If none is kept,
+// it returns an absent limit with the log index of the last change to any limit.
 func (s *State) knownLimit(l LimitStatement) *TargetLimit {
 	known, found := s.targetLimits[l.Target]
 	if !found || known.Born != l.Born {
-		known = TargetLimit{Target: l.Target, Born: l.Born, Index: s.limitsAt}
+		known = TargetLimit{Target: l.Target, Born: l.Born, Index: s.limitsIndex}
 	}
 	return &known
 }
 
-// expireLimits forgets what nobody has stated for long. Entries keep what they have heard.
+// expireLimits deletes the limits that were last stated more than limitTTL ago. Entry
+// instances are not notified and keep the limit that they know.
 func (s *State) expireLimits() {
 	for id, t := range s.targetLimits {
-		if s.now-t.Stated > limitKept.Milliseconds() {
+		if s.now-t.Stated > limitTTL.Milliseconds() {
 			delete(s.targetLimits, id)
 		}
 	}
 }
 
-// LimitsAt is TargetLimits().Index.
-func (s *State) LimitsAt() uint64 { return s.limitsAt }
+// LimitsAt returns TargetLimits().Index without building the list.
+func (s *State) LimitsAt() uint64 { return s.limitsIndex }
 
-// TargetLimits gives the limits that targets name.
+// TargetLimits returns the limits kept, sorted by target.
 func (s *State) TargetLimits() TargetLimits {
-	out := TargetLimits{Index: s.limitsAt, List: make([]TargetLimit, 0, len(s.targetLimits))}
+	out := TargetLimits{Index: s.limitsIndex, List: make([]TargetLimit, 0, len(s.targetLimits))}
 	for _, t := range s.targetLimits {
 		out.List = append(out.List, t)
 	}
@@ -149,9 +157,9 @@
 	return out
 }
 
-// restoreLimits takes the limits of a snapshot.
+// restoreLimits loads the limits of a snapshot.
 func (s *State) restoreLimits(l TargetLimits) {
-	s.limitsAt = l.Index
+	s.limitsIndex = l.Index
 	for _, t := range l.List {
 		s.targetLimits[t.Target] = t
 	}
--- a/core/state/limits_fleet_test.go
+++ b/core/state/limits_fleet_test.go
@@ -13,33 +13,34 @@
 )
 
 const (
-	// dialMost is how long a request is on its way to its target at most.
-	dialMost = 400 * time.Millisecond
-	// toldAfter and settled are the users': an entry counts half a second after an answer, a
-	// target's limit three seconds after it was first named.
-	toldAfter = 500 * time.Millisecond
-	settled   = 3 * time.Second
-	span      = 4 * time.Second
+	// maxTransit is the maximum time from sending a request until it reaches its target.
+	maxTransit = 400 * time.Millisecond
+	// awareDelay and settleTime come from the requirements: the requests of an entry instance
+	// count against the limit from half a second after an answer stated one, and the limit
+	// applies from three seconds after the target first named it.
+	awareDelay = 500 * time.Millisecond
+	settleTime = 3 * time.Second
+	window     = 4 * time.Second
 )
 
 var epoch = time.UnixMilli(1_000_000)
 
-// fleet runs entries, a group and one target in virtual time: messages are lost, copied and
-// late, leaders change, entries restart or are cut off from the group, and the target names a
-// limit, changes it, names none, and is replaced.
+// fleet simulates entry instances, the control group and one target in virtual time. Messages
+// are lost, duplicated and delayed; leaders change; entry instances restart or are partitioned
+// from the group; the target names a limit, changes it, withdraws it, and is replaced.
 type fleet struct {
 	t   *testing.T
 	rng *rand.Rand
 	now time.Time
-	// calm fleets have no faults.
-	calm   bool
-	demand float64 // requests a second of all entries
+	// faultless disables lost, duplicated and very late messages.
+	faultless bool
+	demand    float64 // requests per second of all entry instances together
 
-	log        *log
-	replicated int64
-	base       int64
-	leads      time.Time
-	leaderless time.Time
+	log             *log
+	replicated      int64
+	clockBase       int64
+	leaderSince     time.Time
+	leaderlessUntil time.Time
 
 	entries []*entry
 	events  []event
@@ -50,18 +51,18 @@
 	refused  int
 }
 
-// limitedTarget is the target as it is; since is when it began to name limits, zero while it
-// names none.
+// limitedTarget is the true state of the target. since is when it began to name limits, zero
+// while it names none.
 type limitedTarget struct {
 	born    int64
 	limited bool
 	rate    float64
 	since   time.Time
-	history []named
+	history []limitChange
 }
 
-// named is a limit from a time on.
-type named struct {
+// limitChange is the target's limit from a time on.
+type limitChange struct {
 	at      time.Time
 	limited bool
 	rate    float64
@@ -69,28 +70,29 @@
 }
 
 type arrival struct {
-	at   time.Time
-	told bool
+	at    time.Time
+	aware bool
 }
 
-// event is something that happens at a time.
+// event is a function scheduled for a time.
 type event struct {
 	at time.Time
 	do func()
 }
 
+// entry is one entry instance. awareSince is when an answer first stated a limit to it.
 type entry struct {
-	run      int
-	cut      bool
-	born     int64
-	view     targetlimit.View
-	heldTill time.Time
-	toldAt   time.Time
-	listed   uint64
+	run         int
+	partitioned bool
+	born        int64
+	view        targetlimit.View
+	askAgainAt  time.Time
+	awareSince  time.Time
+	listIndex   uint64
 }
 
 func newFleet(t *testing.T, seed uint64, entries int, demand float64) *fleet {
-	f := &fleet{t: t, rng: rand.New(rand.NewPCG(seed, 5)), now: epoch, demand: demand, log: newLog(t), leads: epoch}
+	f := &fleet{t: t, rng: rand.New(rand.NewPCG(seed, 5)), now: epoch, demand: demand, log: newLog(t), leaderSince: epoch}
 	f.target.born = 1
 	for range entries {
 		f.entries = append(f.entries, &entry{born: 1})
@@ -102,33 +104,34 @@
 	f.events = append(f.events, event{f.now.Add(d), do})
 }
 
-// delay is that of one message.
+// delay draws the delay of one message.
 func (f *fleet) delay() time.Duration {
-	if !f.calm && f.rng.IntN(20) == 0 {
+	if !f.faultless && f.rng.IntN(20) == 0 {
 		return time.Duration(f.rng.Int64N(int64(2 * time.Second)))
 	}
 	return time.Millisecond + time.Duration(f.rng.Int64N(int64(15*time.Millisecond)))
 }
 
-// propose takes a command to the group and its result back, if neither is lost.
+// propose sends a command to the group and its result back to the entry instance, unless
+// either is lost.
 func (f *fleet) propose(e *entry, c Command, done func(Result)) {
-	lost := func() bool { return e.cut || !f.calm && f.rng.IntN(20) == 0 }
-	if lost() {
+	dropped := func() bool { return e.partitioned || !f.faultless && f.rng.IntN(20) == 0 }
+	if dropped() {
 		return
 	}
 	copies := 1
-	if !f.calm && f.rng.IntN(20) == 0 {
+	if !f.faultless && f.rng.IntN(20) == 0 {
 		copies = 2
 	}
 	run := e.run
 	for range copies {
 		f.after(f.delay(), func() {
-			if f.now.Before(f.leaderless) {
+			if f.now.Before(f.leaderlessUntil) {
 				return
 			}
 			r := f.commit(c)
 			f.after(f.delay(), func() {
-				if !lost() && e.run == run {
+				if !dropped() && e.run == run {
 					done(r)
 				}
 			})
@@ -137,7 +140,7 @@
 }
 
 func (f *fleet) commit(c Command) Result {
-	f.replicated = max(f.replicated, f.base+f.now.Sub(f.leads).Milliseconds())
+	f.replicated = max(f.replicated, f.clockBase+f.now.Sub(f.leaderSince).Milliseconds())
 	c.Now = f.replicated
 	if c.Limit != nil {
 		if known, changes := f.log.s.LimitChanges(c.Now, *c.Limit); !changes {
@@ -155,17 +158,18 @@
 	return r
 }
 
-// push tells an entry the list, over a link that keeps order.
+// push sends the list to an entry instance. Lists that arrive out of order are dropped, as
+// over a link that preserves order.
 func (f *fleet) push(e *entry, list TargetLimits) {
-	if e.cut {
+	if e.partitioned {
 		return
 	}
 	run := e.run
 	f.after(f.delay(), func() {
-		if e.run != run || list.Index < e.listed {
+		if e.run != run || list.Index < e.listIndex {
 			return
 		}
-		e.listed = list.Index
+		e.listIndex = list.Index
 		for _, l := range list.List {
 			if l.Born == e.born {
 				e.view = e.view.ApplyGroup(l.Known(), f.now)
@@ -174,15 +178,15 @@
 	})
 }
 
-func (f *fleet) lead() {
-	f.leaderless = f.now.Add(time.Duration(f.rng.Int64N(int64(1500 * time.Millisecond))))
+func (f *fleet) changeLeader() {
+	f.leaderlessUntil = f.now.Add(time.Duration(f.rng.Int64N(int64(1500 * time.Millisecond))))
 	f.log.reload()
-	f.base, f.leads = f.replicated, f.leaderless
+	f.clockBase, f.leaderSince = f.replicated, f.leaderlessUntil
 }
 
-// request is one request at an entry.
+// request handles one request at an entry instance.
 func (f *fleet) request(e *entry) {
-	if f.now.Before(e.heldTill) {
+	if f.now.Before(e.askAgainAt) {
 		f.refused++
 		return
 	}
@@ -204,31 +208,31 @@
 			f.send(e)
 		case !r.Retry.Granted:
 			f.refused++
-			e.heldTill = f.now.Add(targetlimit.RetryDelay(believed.Rate, len(f.entries), r.Retry.RetryAfter, f.rng.Float64()))
+			e.askAgainAt = f.now.Add(targetlimit.RetryDelay(believed.Rate, len(f.entries), r.Retry.RetryAfter, f.rng.Float64()))
 		}
 	})
 	f.after(300*time.Millisecond, func() {
 		if !answered && e.run == run {
 			answered = true
-			e.heldTill = f.now.Add(targetlimit.RetryDelay(believed.Rate, len(f.entries), 0, f.rng.Float64()))
+			e.askAgainAt = f.now.Add(targetlimit.RetryDelay(believed.Rate, len(f.entries), 0, f.rng.Float64()))
 		}
 	})
 }
 
-// send takes a request to the target and its answer back.
+// send sends a request to the target and the answer back to the entry instance.
 func (f *fleet) send(e *entry) {
 	sent, run, born, seen := f.now, e.run, e.born, e.view.Group.Index
-	way := 2 * time.Millisecond
+	transit := 2 * time.Millisecond
 	if f.rng.IntN(10) == 0 {
-		way = time.Duration(f.rng.Int64N(int64(dialMost)))
+		transit = time.Duration(f.rng.Int64N(int64(maxTransit)))
 	}
-	f.after(way, func() {
+	f.after(transit, func() {
 		if born != f.target.born {
-			return // another target has the address, and does not run it
+			return // another process has the address now and rejects the request
 		}
-		told := !e.toldAt.IsZero() && e.run == run && sent.Sub(e.toldAt) >= toldAfter
-		f.arrivals = append(f.arrivals, arrival{f.now, told})
-		says := targetlimit.Statement{Limit: targetlimit.Limit{Limited: f.target.limited, Rate: f.target.rate}, Sent: sent, Seen: seen}
+		aware := !e.awareSince.IsZero() && e.run == run && sent.Sub(e.awareSince) >= awareDelay
+		f.arrivals = append(f.arrivals, arrival{f.now, aware})
+		statement := targetlimit.Statement{Limit: targetlimit.Limit{Limited: f.target.limited, Rate: f.target.rate}, Sent: sent, Seen: seen}
 		work := 5*time.Millisecond + time.Duration(f.rng.Int64N(int64(50*time.Millisecond)))
 		if f.rng.IntN(20) == 0 {
 			work = time.Duration(f.rng.Int64N(int64(2 * time.Second)))
@@ -237,26 +241,27 @@
 			if e.run != run || e.born != born {
 				return
 			}
-			says.Received = f.now
-			f.heard(e, says)
+			statement.Received = f.now
+			f.handleAnswer(e, statement)
 		})
 	})
 }
 
-// heard takes what an answer says.
-func (f *fleet) heard(e *entry, says targetlimit.Statement) {
-	if says.Limited && e.toldAt.IsZero() {
-		e.toldAt = f.now
+// handleAnswer applies the limit stated in an answer to the entry instance's view.
+func (f *fleet) handleAnswer(e *entry, statement targetlimit.Statement) {
+	if statement.Limited && e.awareSince.IsZero() {
+		e.awareSince = f.now
 	}
 	before := e.view.Current
-	e.view = e.view.ApplyStatement(says)
+	e.view = e.view.ApplyStatement(statement)
 	if before.Limit != e.view.Current.Limit || e.view.ReportDue(f.now, LimitStatedEvery) {
-		f.state(e, 0)
+		f.sendStatement(e, 0)
 	}
 }
 
-// state tells the group what an entry goes by, again until the group has heard it.
-func (f *fleet) state(e *entry, tries int) {
+// sendStatement proposes the limit that an entry instance uses, and repeats the proposal up to
+// 20 times until it is answered.
+func (f *fleet) sendStatement(e *entry, tries int) {
 	b, run, born, done := e.view.Current, e.run, e.born, false
 	f.propose(e, Command{Limit: &LimitStatement{Target: "t", Born: born, Limited: b.Limited, Rate: b.Rate, Seen: b.Seen}}, func(r Result) {
 		done = true
@@ -266,12 +271,12 @@
 	})
 	f.after(400*time.Millisecond, func() {
 		if !done && e.run == run && tries < 20 {
-			f.state(e, tries+1)
+			f.sendStatement(e, tries+1)
 		}
 	})
 }
 
-// step lets time pass.
+// step advances the virtual time, runs the events that are due and generates requests.
 func (f *fleet) step(d time.Duration) {
 	f.now = f.now.Add(d)
 	due := f.events
@@ -290,7 +295,7 @@
 	}
 }
 
-func (f *fleet) names(limited bool, rate float64) {
+func (f *fleet) setLimit(limited bool, rate float64) {
 	t := &f.target
 	if limited && !t.limited {
 		t.since = f.now
@@ -299,18 +304,18 @@
 	if !limited {
 		t.rate, t.since = 0, time.Time{}
 	}
-	t.history = append(t.history, named{f.now, t.limited, t.rate, t.since})
+	t.history = append(t.history, limitChange{f.now, t.limited, t.rate, t.since})
 }
 
-// replace starts another run of the target under its name and address.
+// replace starts a new process of the target under the same name and address.
 func (f *fleet) replace() {
 	f.target.born++
-	f.names(false, 0)
+	f.setLimit(false, 0)
 	born := f.target.born
 	for _, e := range f.entries {
 		f.after(f.delay(), func() {
 			if e.born < born {
-				*e = entry{run: e.run, cut: e.cut, listed: e.listed, born: born}
+				*e = entry{run: e.run, partitioned: e.partitioned, listIndex: e.listIndex, born: born}
 			}
 		})
 	}
@@ -324,29 +329,29 @@
 	}
 }
 
-func (f *fleet) disturb() {
+func (f *fleet) injectFaults() {
 	for range 1 + len(f.entries)/10 {
 		e := f.entries[f.rng.IntN(len(f.entries))]
 		switch f.rng.IntN(4) {
 		case 0:
 			f.restart(e)
 		case 1:
-			e.cut = true
+			e.partitioned = true
 		case 2:
-			e.cut = false
+			e.partitioned = false
 			if list := f.log.s.TargetLimits(); list.Index > 0 {
 				f.push(e, list)
 			}
 		}
 	}
 	if f.rng.IntN(3) == 0 {
-		f.lead()
+		f.changeLeader()
 	}
 }
 
-// mostNamed gives the highest limit that the target named between two times, and whether it
-// named one all the while, for long enough that it counts.
-func (f *fleet) mostNamed(from, to time.Time) (rate float64, counts bool) {
+// highestLimit returns the highest limit that the target named between two times, and reports
+// whether it named one throughout and had begun at least settleTime before from.
+func (f *fleet) highestLimit(from, to time.Time) (rate float64, settled bool) {
 	for i, n := range f.target.history {
 		end := to
 		if i+1 < len(f.target.history) {
@@ -355,40 +360,42 @@
 		if !end.After(from) || n.at.After(to) {
 			continue
 		}
-		if !n.limited || from.Sub(n.since) < settled {
+		if !n.limited || from.Sub(n.since) < settleTime {
 			return 0, false
 		}
-		rate, counts = max(rate, n.rate), true
+		rate, settled = max(rate, n.rate), true
 	}
-	return rate, counts
+	return rate, settled
 }
 
-// check holds what arrived from entries that were told against the users' bound. A limit that
-// was lowered within toldAfter of the window counts with its higher value.
+// check compares the arrivals from entry instances that were aware of the limit with the
+// required bound, in a window that starts at each arrival. If the limit was lowered within
+// awareDelay before the window, its higher value counts.
 func (f *fleet) check(c *qt.C) (windows int) {
 	slices.SortFunc(f.arrivals, func(a, b arrival) int { return a.at.Compare(b.at) })
 	for i := range f.arrivals {
 		from := f.arrivals[i].at
-		to := from.Add(span)
-		rate, counts := f.mostNamed(from.Add(-toldAfter), to)
+		to := from.Add(window)
+		rate, counts := f.highestLimit(from.Add(-awareDelay), to)
 		if !counts {
 			continue
 		}
 		windows++
 		got := 0
 		for _, a := range f.arrivals[i:] {
-			if a.at.Before(to) && a.told {
+			if a.at.Before(to) && a.aware {
 				got++
 			}
 		}
-		bound := 1.5*rate*span.Seconds() + 5
+		bound := 1.5*rate*window.Seconds() + 5
 		c.Assert(float64(got) <= bound, qt.IsTrue, qt.Commentf("%d of %.1f from %v, limit %.2f", got, bound, from.Sub(epoch), rate))
 	}
 	return windows
 }
 
-// TestLimitOfATargetHoldsInAllHistories guards against a sum over all entries that passes what
-// a target names, whatever is lost, late, copied, restarted or cut off.
+// TestLimitOfATargetHoldsInAllHistories guards against all entry instances together exceeding
+// the limit that a target names while messages are lost, delayed or duplicated and instances
+// restart or are partitioned.
 func TestLimitOfATargetHoldsInAllHistories(t *testing.T) {
 	const histories, step = 200, 10 * time.Millisecond
 	windows, arrived := 0, 0
@@ -400,14 +407,14 @@
 		f := newFleet(t, seed, entries, 20+float64(seed%5)*30)
 		for i := range int(24 * time.Second / step) {
 			if i%int(2*time.Second/step) == 0 {
-				f.disturb()
+				f.injectFaults()
 				switch f.rng.IntN(16) {
 				case 0:
-					f.names(false, 0)
+					f.setLimit(false, 0)
 				case 1:
 					f.replace()
 				case 2, 3, 4, 5, 6:
-					f.names(true, f.rng.Float64()*10)
+					f.setLimit(true, f.rng.Float64()*10)
 				}
 			}
 			f.step(step)
@@ -419,17 +426,17 @@
 	qt.New(t).Assert(windows > histories*10, qt.IsTrue)
 }
 
-// TestLimitedTargetIsNotStarved guards against a target that gets much less than the limit
-// that it names while there are requests for it.
+// TestLimitedTargetIsNotStarved guards against a target that receives far fewer requests than
+// its limit allows while requests for it are waiting.
 func TestLimitedTargetIsNotStarved(t *testing.T) {
 	const lasts, step = 30 * time.Second, 5 * time.Millisecond
 	for _, entries := range []int{1, 5, 30, 320} {
 		for _, rate := range []float64{0.5, 2.3, 20} {
 			t.Run(fmt.Sprintf("%d entries, %.1f a second", entries, rate), func(t *testing.T) {
 				f := newFleet(t, uint64(entries), entries, max(4*rate, 3*float64(entries)))
-				f.calm = true
-				f.names(true, rate)
-				for range int(settled / step) {
+				f.faultless = true
+				f.setLimit(true, rate)
+				for range int(settleTime / step) {
 					f.step(step)
 				}
 				f.arrivals = nil
@@ -445,20 +452,20 @@
 	}
 }
 
-// TestLimitEndsAtAllEntries guards against entries that hold a target to a limit for long after
-// it has ceased to name one.
+// TestLimitEndsAtAllEntries guards against entry instances that still apply a limit long after
+// the target has stopped naming one.
 func TestLimitEndsAtAllEntries(t *testing.T) {
 	const step, within = 5 * time.Millisecond, 5 * time.Second
 	for _, entries := range []int{1, 5, 30, 320} {
 		for _, rate := range []float64{0, 0.5, 2.3, 20} {
 			t.Run(fmt.Sprintf("%d entries, %.1f a second", entries, rate), func(t *testing.T) {
 				f := newFleet(t, uint64(entries), entries, 40)
-				f.calm = true
-				f.names(true, rate)
+				f.faultless = true
+				f.setLimit(true, rate)
 				for range int(10 * time.Second / step) {
 					f.step(step)
 				}
-				f.names(false, 0)
+				f.setLimit(false, 0)
 				for range int(within / step) {
 					f.step(step)
 				}
--- a/core/state/limits_test.go
+++ b/core/state/limits_test.go
@@ -16,13 +16,14 @@
 	return l.apply(Command{Now: now.Milliseconds(), Limit: &s})
 }
 
-// What is known after statements, and whether entries are told of the last one.
+// Checks the limit kept after a series of statements, and whether the last one is announced to
+// entry instances.
 func TestLimitStatements(t *testing.T) {
 	type step struct {
 		at        time.Duration
 		statement LimitStatement
 	}
-	// seen is the log index of the limit that the sender knew: steps have the indexes 1, 2, ...
+	// seen is the log index of the limit that the sender knew; the steps have indexes 1, 2, ...
 	names := func(at time.Duration, rate float64, seen uint64) step {
 		return step{at, LimitStatement{Target: "t", Born: 1, Limited: true, Rate: rate, Seen: seen}}
 	}
@@ -31,27 +32,27 @@
 	}
 	const s = time.Second
 	for _, tt := range []struct {
-		name    string
-		steps   []step
-		limited bool
-		rate    float64
-		told    bool
+		name      string
+		steps     []step
+		limited   bool
+		rate      float64
+		announced bool
 	}{
 		{"named", []step{names(s, 2, 0)}, true, 2, true},
-		{"named by two", []step{names(s, 2, 0), names(s+5*time.Millisecond, 2, 0)}, true, 2, false},
-		{"named for long", []step{names(s, 2, 0), names(s+limitFresh, 2, 1)}, true, 2, false},
+		{"named twice within 5 ms", []step{names(s, 2, 0), names(s+5*time.Millisecond, 2, 0)}, true, 2, false},
+		{"named again after limitRefreshAfter", []step{names(s, 2, 0), names(s+limitRefreshAfter, 2, 1)}, true, 2, false},
 		{"lowered", []step{names(s, 2, 0), names(2*s, 1, 0)}, true, 1, true},
 		{"raised", []step{names(s, 2, 0), names(2*s, 3, 1)}, true, 3, true},
-		{"raised, says who did not know of the limit", []step{names(s, 2, 0), names(2*s, 3, 0)}, true, 2, false},
-		{"named no more", []step{names(s, 2, 0), none(2*s, 1)}, false, 0, true},
-		{"named no more, says who did not know of the limit", []step{names(s, 2, 0), none(2*s, 0)}, true, 2, false},
-		{"named again", []step{names(s, 2, 0), none(2*s, 1), names(3*s, 2, 0)}, true, 2, true},
-		{"a late end of the limit before", []step{names(s, 2, 0), none(2*s, 1), names(3*s, 2, 2), none(5*s, 1)}, true, 2, false},
+		{"raised by a sender that did not know the limit", []step{names(s, 2, 0), names(2*s, 3, 0)}, true, 2, false},
+		{"withdrawn", []step{names(s, 2, 0), none(2*s, 1)}, false, 0, true},
+		{"withdrawn by a sender that did not know the limit", []step{names(s, 2, 0), none(2*s, 0)}, true, 2, false},
+		{"named again after its withdrawal", []step{names(s, 2, 0), none(2*s, 1), names(3*s, 2, 0)}, true, 2, true},
+		{"late withdrawal of the previous limit", []step{names(s, 2, 0), none(2*s, 1), names(3*s, 2, 2), none(5*s, 1)}, true, 2, false},
 		{"never named", []step{none(s, 0)}, false, 0, false},
-		{"forgotten, and named", []step{names(s, 2, 0), {3 * limitKept, LimitStatement{Target: "u", Limited: true}}, names(3*limitKept, 2, 1)}, true, 2, true},
-		{"the target's next run names none", []step{names(s, 2, 0), {2 * s, LimitStatement{Target: "t", Born: 2}}}, true, 2, false},
-		{"the target's next run names one", []step{names(s, 2, 0), {2 * s, LimitStatement{Target: "t", Born: 2, Limited: true, Rate: 5}}}, true, 5, true},
-		{"the run before names one late", []step{{s, LimitStatement{Target: "t", Born: 2, Limited: true, Rate: 5}}, names(2*s, 2, 1)}, true, 5, false},
+		{"expired, then named", []step{names(s, 2, 0), {3 * limitTTL, LimitStatement{Target: "u", Limited: true}}, names(3*limitTTL, 2, 1)}, true, 2, true},
+		{"next process of the target names none", []step{names(s, 2, 0), {2 * s, LimitStatement{Target: "t", Born: 2}}}, true, 2, false},
+		{"next process of the target names one", []step{names(s, 2, 0), {2 * s, LimitStatement{Target: "t", Born: 2, Limited: true, Rate: 5}}}, true, 5, true},
+		{"late statement of the previous process", []step{{s, LimitStatement{Target: "t", Born: 2, Limited: true, Rate: 5}}, names(2*s, 2, 1)}, true, 5, false},
 	} {
 		t.Run(tt.name, func(t *testing.T) {
 			c, l := qt.New(t), newLog(t)
@@ -61,7 +62,7 @@
 				c.Assert(l.limit(step.at, step.statement).Reason, qt.Equals, api.Reason(""))
 				l.reload()
 			}
-			c.Assert(l.s.LimitsAt() != before, qt.Equals, tt.told)
+			c.Assert(l.s.LimitsAt() != before, qt.Equals, tt.announced)
 			var got TargetLimit
 			for _, known := range l.s.TargetLimits().List {
 				if known.Target == "t" {
@@ -74,14 +75,14 @@
 	}
 }
 
-// Statements that can't be used are refused and leave nothing behind.
+// Checks that an invalid statement is refused and leaves no limit in the state.
 func TestLimitStatementsThatCannotBeUsed(t *testing.T) {
 	for name, statement := range map[string]LimitStatement{
-		"no target":                  {Limited: true, Rate: 1},
-		"a long target":              {Target: api.TargetID(strings.Repeat("t", maxTargetName+1)), Limited: true, Rate: 1},
-		"a negative limit":           {Target: "t", Limited: true, Rate: -1},
-		"a rate without a limit":     {Target: "t", Rate: 1},
-		"a limit that is no number ": {Target: "t", Limited: true, Rate: nan()},
+		"no target":                    {Limited: true, Rate: 1},
+		"a long target":                {Target: api.TargetID(strings.Repeat("t", maxTargetName+1)), Limited: true, Rate: 1},
+		"a negative limit":             {Target: "t", Limited: true, Rate: -1},
+		"a rate without a limit":       {Target: "t", Rate: 1},
+		"a limit that is not a number": {Target: "t", Limited: true, Rate: nan()},
 	} {
 		t.Run(name, func(t *testing.T) {
 			c, l := qt.New(t), newLog(t)
@@ -93,19 +94,20 @@
 
 func nan() float64 { zero := 0.0; return zero / zero }
 
-// TestLimitsAreBounded guards against targets that come and go and are remembered for ever.
+// TestLimitsAreBounded guards against unbounded growth when targets come and go: a limit
+// beyond maxTargetLimits is refused until limits have expired.
 func TestLimitsAreBounded(t *testing.T) {
 	c, l := qt.New(t), newLog(t)
 	for i := range maxTargetLimits {
 		c.Assert(l.limit(time.Second, LimitStatement{Target: api.TargetID(fmt.Sprint(i)), Limited: true}).Reason, qt.Equals, api.Reason(""))
 	}
 	c.Assert(l.limit(time.Second, LimitStatement{Target: "t", Limited: true}).Reason, qt.Equals, api.ReasonQueueFull)
-	c.Assert(l.limit(2*time.Second+limitKept, LimitStatement{Target: "t", Limited: true}).Reason, qt.Equals, api.Reason(""))
+	c.Assert(l.limit(2*time.Second+limitTTL, LimitStatement{Target: "t", Limited: true}).Reason, qt.Equals, api.Reason(""))
 	c.Assert(l.s.TargetLimits().List, qt.HasLen, 1)
 }
 
-// TestMembersKnowTheSameLimits guards against members that differ, one of them restored from
-// snapshots again and again, and against a list that changes under the same index.
+// TestMembersKnowTheSameLimits guards against two members that diverge when one of them is
+// repeatedly restored from snapshots, and against a list that changes without a higher index.
 func TestMembersKnowTheSameLimits(t *testing.T) {
 	for seed := range uint64(40) {
 		r := rand.New(rand.NewPCG(seed, 3))
@@ -126,7 +128,7 @@
 				t.Fatalf("seed %d step %d: a statement that changes nothing changed the limits", seed, step)
 			}
 			next := a.s.TargetLimits()
-			if next.Index < last.Index || next.Index == last.Index && told(next) != told(last) {
+			if next.Index < last.Index || next.Index == last.Index && announcement(next) != announcement(last) {
 				t.Fatalf("seed %d step %d: %+v after %+v", seed, step, next, last)
 			}
 			last = next
@@ -142,6 +144,7 @@
 	}
 }
 
+// sameLimits reports whether two snapshots hold equal limits.
 func sameLimits(t *testing.T, a, b []byte) bool {
 	sa, err := Restore(DefaultLimits(), a)
 	qt.New(t).Assert(err, qt.IsNil)
@@ -150,8 +153,8 @@
 	return fmt.Sprint(sa.TargetLimits()) == fmt.Sprint(sb.TargetLimits())
 }
 
-// told is what entries are told by a list.
-func told(l TargetLimits) string {
+// announcement returns the part of a list that entry instances use.
+func announcement(l TargetLimits) string {
 	out := ""
 	for _, t := range l.List {
 		out += fmt.Sprint(t.Target, t.Born, t.Known())
@@ -159,12 +162,13 @@
 	return out
 }
 
-// TestLateEndOfALimitChangesNothing guards against a statement that a stalled link or a
-// suspended process delivers late: the target has named a limit again meanwhile.
+// TestLateEndOfALimitChangesNothing guards against the late delivery of a statement that a
+// target names no limit, over a stalled link or by a suspended process, after the target has
+// named a limit again.
 func TestLateEndOfALimitChangesNothing(t *testing.T) {
 	c, l := qt.New(t), newLog(t)
 	names := LimitStatement{Target: "t", Limited: true, Rate: 2}
-	none := LimitStatement{Target: "t", Seen: 1} // heard at second 2 by an instance that stands still then
+	none := LimitStatement{Target: "t", Seen: 1} // sent at second 2 and again, late, at second 5
 	l.limit(time.Second, names)
 	l.limit(2*time.Second, none)
 	l.limit(3*time.Second, names)
--- a/core/state/patch.go
+++ b/core/state/patch.go
@@ -5,19 +5,20 @@
 	"crypto/sha256"
 )
 
-// Patch turns one document into the next: all but the first Prefix and the last
-// Suffix bytes are replaced by Middle, or by what Pieces give. It needs no knowledge
-// of the format.
+// Patch turns one document into the next: the bytes between the first Prefix and the
+// last Suffix bytes are replaced by Middle, or by the bytes that Pieces describe. It
+// does not depend on the format of the document. Sum is the SHA-256 of the result.
 type Patch struct {
 	Prefix int      `cbor:"1,keyasint"`
 	Suffix int      `cbor:"2,keyasint"`
 	Middle []byte   `cbor:"3,keyasint,omitempty"`
 	Sum    [32]byte `cbor:"4,keyasint"`
-	// Pieces stand for a large middle, most of which is in the old document.
+	// Pieces replace Middle if it is large: they assemble it from ranges of the old
+	// document and new text.
 	Pieces []Piece `cbor:"5,keyasint,omitempty"`
 }
 
-// Piece is Length bytes of the old document from Offset on, and then Text.
+// Piece is Length bytes of the old document, starting at Offset, followed by Text.
 type Piece struct {
 	Offset int    `cbor:"1,keyasint,omitempty"`
 	Length int    `cbor:"2,keyasint,omitempty"`
@@ -25,19 +26,21 @@
 }
 
 const (
-	// piecesFrom is the middle from which on pieces are looked for: a smaller one is
-	// sent in some milliseconds over the slowest links, of 10 Mbit/s.
-	piecesFrom = 4 << 10
-	// maxPieces bounds them; a document that has changed in more places goes whole.
+	// minSplitSize is the size from which on a middle is split into pieces. A smaller one
+	// takes a few milliseconds over the slowest links, of 10 Mbit/s.
+	minSplitSize = 4 << 10
+	// maxPieces bounds the pieces before the last one. If a document has changed in more
+	// places, the patch carries the whole middle.
 	maxPieces = 512
-	// maxSegment bounds a segment, and with it what is sent for one changed byte.
+	// maxSegment bounds the size of a segment, and so the bytes sent for one changed byte.
 	maxSegment = 1 << 10
 )
 
-// MakePatch gives the patch from one document to another.
+// MakePatch returns the patch from one document to another.
 //
-// A document may change in two places far apart, its version at the beginning and a route in the
-// middle; a patch of one piece would hold nearly all between them.
+// A document may change in two distant places, such as its version at the beginning and a route
+// in the middle. A patch with a single range would carry everything between them, which is why a
+// large middle is split into pieces.
 func MakePatch(from, to []byte) Patch {
 	shorter := min(len(from), len(to))
 	p := Patch{Sum: sha256.Sum256(to)}
@@ -48,7 +51,7 @@
 		p.Suffix++
 	}
 	p.Middle = to[p.Prefix : len(to)-p.Suffix]
-	if len(p.Middle) < piecesFrom {
+	if len(p.Middle) < minSplitSize {
 		return p
 	}
 	if pieces := makePieces(from, p.Middle); pieces != nil {
@@ -57,8 +60,8 @@
 	return p
 }
 
-// makePieces describes a text by what it shares with an old document; nil where that
-// takes too many pieces.
+// makePieces describes text by the segments that it shares with the document from. It
+// returns nil if that takes too many pieces.
 func makePieces(from, text []byte) []Piece {
 	known := make(map[string]int)
 	for offset := 0; offset < len(from); {
@@ -89,8 +92,9 @@
 	return append(out, piece)
 }
 
-// segment gives the beginning of a text up to its next opening brace, so that a
-// change within one object leaves the others alike.
+// segment returns the beginning of text up to the next opening brace after its first
+// byte, at most maxSegment bytes. Cutting at braces lets the segments of other objects
+// match when one object changes.
 func segment(text []byte) []byte {
 	end := bytes.IndexByte(text[1:], '{') + 1
 	if end == 0 {
@@ -99,8 +103,8 @@
 	return text[:min(end, maxSegment)]
 }
 
-// Apply gives the patched document; false when from isn't the document that the
-// patch was made of.
+// Apply returns the patched document. It reports false if the result does not have the
+// digest Sum, as when from is not the document that the patch was made from.
 func (p Patch) Apply(from []byte) ([]byte, bool) {
 	if p.Prefix < 0 || p.Suffix < 0 || p.Prefix+p.Suffix > len(from) {
 		return nil, false
--- a/core/state/patch_test.go
+++ b/core/state/patch_test.go
@@ -9,7 +9,7 @@
 	qt "github.com/frankban/quicktest"
 )
 
-// routes gives a document of many routes.
+// routes returns a document with n routes.
 func routes(version, n int, timeout func(i int) int) string {
 	var b strings.Builder
 	fmt.Fprintf(&b, `{"version":%d,"routes":[`, version)
@@ -20,9 +20,10 @@
 	return b.String()
 }
 
-// A large document changes its version and one route in the middle. Sent whole, it
-// would fill a slow link for half a second each time, and entries would follow a
-// series of changes seconds late.
+// Guards against a patch that carries nearly the whole of a large document when only
+// its version and one route in the middle change. That would occupy a slow link for
+// half a second per change, and entry instances would apply a series of changes
+// seconds late.
 func TestPatchOfTwoPlacesIsSmall(t *testing.T) {
 	c := qt.New(t)
 	from := routes(38, 2800, func(int) int { return 500 })
@@ -44,7 +45,8 @@
 	c.Assert(string(got), qt.Equals, to)
 }
 
-// Whatever changes, the patch gives the new document, and on another one nothing.
+// Checks that a patch of any change gives the new document, and that applied to a
+// document other than its base it gives the new document or fails.
 func TestPatchesOfRandomChanges(t *testing.T) {
 	c := qt.New(t)
 	rng := rand.New(rand.NewPCG(3, 3))
@@ -62,7 +64,7 @@
 	}
 }
 
-// A patch from a broken or foreign sender names bytes that are not there.
+// Checks that a patch whose pieces refer to bytes outside the old document is rejected.
 func TestPatchOutOfBounds(t *testing.T) {
 	for _, piece := range []Piece{{Offset: -1, Length: 1}, {Offset: 1, Length: 9}, {Offset: 9}, {Length: -1}} {
 		_, ok := Patch{Pieces: []Piece{piece}}.Apply([]byte("abc"))
--- a/core/state/snapshot.go
+++ b/core/state/snapshot.go
@@ -11,10 +11,11 @@
 	"almondseam.dev/core/retrybudget"
 )
 
-// format is raised when a snapshot can no longer be read by older versions.
+// format is the version of the snapshot format. It is raised when older releases
+// can no longer read a snapshot.
 const format = 1
 
-// maxItems bounds the arrays in a snapshot.
+// maxItems bounds the number of elements of an array or map in a snapshot or command.
 const maxItems = 1 << 22
 
 var (
@@ -22,6 +23,7 @@
 	decMode = codec.Decoder(codec.Bounds{Nesting: 16, Items: maxItems, Pairs: maxItems})
 )
 
+// image is the encoded form of a snapshot.
 type image struct {
 	Format  int            `cbor:"1,keyasint"`
 	Index   uint64         `cbor:"2,keyasint"`
@@ -32,38 +34,40 @@
 	Orders  order.Image    `cbor:"7,keyasint"`
 	Members []MemberInfo   `cbor:"8,keyasint"`
 	Drains  []Drain        `cbor:"9,keyasint"`
-	// Retries is missing in snapshots of versions without a shared budget.
+	// Retries is missing in snapshots of releases without a shared retry budget.
 	Retries []retrybudget.Account `cbor:"10,keyasint,omitempty"`
-	// Zones is missing in snapshots of versions without evacuations.
+	// Zones is missing in snapshots of releases without evacuations.
 	Zones []ZoneOrder `cbor:"11,keyasint,omitempty"`
-	// Limits is missing in snapshots of versions without limits of targets.
+	// Limits is missing in snapshots of releases without target limits, and before
+	// the first change to a limit.
 	Limits *TargetLimits `cbor:"12,keyasint,omitempty"`
 }
 
-// Encode gives the bytes of a command.
+// Encode returns the encoded form of a command.
 func Encode(c Command) ([]byte, error) { return encMode.Marshal(c) }
 
-// Snapshot gives the whole state. Equal states give equal bytes.
+// Snapshot returns the encoded state. Equal states give equal bytes.
 func (s *State) Snapshot() ([]byte, error) { return s.Freeze().Encode() }
 
-// Frozen is a state as it was at one index. It stays the same while the state
-// goes on, and may be encoded by another goroutine.
+// Frozen is a copy of the state at one log index. Later commands do not change
+// it, and another goroutine may encode it.
 type Frozen struct{ img image }
 
-// Encode gives the snapshot's bytes. Call it once.
+// Encode returns the encoded snapshot. It sorts the copy in place, so it must be
+// called only once.
 func (f Frozen) Encode() ([]byte, error) {
 	claim.SortRecords(f.img.Claims)
 	return encMode.Marshal(f.img)
 }
 
-// Freeze copies the state; sorting and encoding, which take most of the time of
-// a snapshot, are left to Encode.
+// Freeze copies the state. It leaves sorting the claims and encoding, which take
+// most of the time of a snapshot, to Encode.
 func (s *State) Freeze() Frozen {
 	img := image{
 		Format:  format,
 		Index:   s.index,
 		Now:     s.now,
-		Configs: slices.Clone(s.config.kept),
+		Configs: slices.Clone(s.config.revisions),
 		Changes: slices.Clone(s.config.changes),
 		Claims:  s.claims.Records(),
 		Orders:  s.orders.Snapshot(),
@@ -81,8 +85,8 @@
 	return Frozen{img}
 }
 
-// Restore gives the state that a snapshot was taken of. Empty data is the state
-// before the first command.
+// Restore returns the state of a snapshot. Empty data gives the state before the
+// first command.
 func Restore(l Limits, data []byte) (*State, error) {
 	s := New(l)
 	if len(data) == 0 {
@@ -96,9 +100,9 @@
 		return nil, fmt.Errorf("%w: %d", ErrFormat, img.Format)
 	}
 	s.index = img.Index
-	s.drained = img.Index
+	s.drainIndex = img.Index
 	s.now = img.Now
-	s.config.kept = img.Configs
+	s.config.revisions = img.Configs
 	s.config.changes = img.Changes
 	for _, ch := range img.Changes {
 		s.config.byID[ch.ChangeID] = ch
--- a/core/state/state.go
+++ b/core/state/state.go
@@ -1,8 +1,10 @@
-// Package state is the replicated state machine of the control group: the
-// fleet's configuration, claims, orders and what the members tell of themselves.
+// Package state is the replicated state machine of the control group. It holds
+// the fleet's configuration, claims, orders, drains, evacuations, shared retry
+// budget and target limits, and the information that members publish about
+// themselves.
 //
 // Apply is deterministic: it reads no clock and draws no random number. Time is
-// the replicated clock, in milliseconds, which the leader stamps into each
+// the replicated clock in milliseconds, which the leader stamps into each
 // command and which never goes back. A State is not safe for concurrent use.
 package state
 
@@ -17,15 +19,15 @@
 	"almondseam.dev/core/retrybudget"
 )
 
-// Limits bound the state. Every member must use the same ones, for they decide
-// what Apply answers.
+// Limits bounds the size of the state. Every member must use the same limits,
+// because the results of Apply depend on them.
 type Limits struct {
 	Claim  claim.Limits
 	Order  order.Limits
 	Config ConfigLimits
 }
 
-// DefaultLimits are those of the sizes in the users' target.
+// DefaultLimits returns limits for the fleet sizes given in the requirements.
 func DefaultLimits() Limits {
 	return Limits{
 		Claim:  claim.DefaultLimits(),
@@ -34,24 +36,27 @@
 	}
 }
 
-// MemberInfo is what a control member tells of itself, for operators.
+// MemberInfo is the information that a control member publishes about itself for
+// operators.
 type MemberInfo struct {
 	ID       uint64   `cbor:"1,keyasint"`
 	Operator string   `cbor:"2,keyasint,omitempty"`
 	Zone     api.Zone `cbor:"3,keyasint,omitempty"`
 }
 
-// Command is one entry of the replicated log. Exactly one of the pointers is
-// set; none at all is a tick, which only moves the clock.
+// Command is one entry of the replicated log. At most one of the pointers is
+// set. A command without any is a tick, which advances the clock and expires
+// claims and orders.
 //
-// Every command may be proposed twice, when the answer to the first was lost:
-// a configuration is known by its change ID, a claim by its claimant, an order
-// and a retry by its ID, and the rest say the same thing when said again.
+// Any command may be proposed twice because the answer to the first proposal was
+// lost. Duplicates are recognized by the change ID or version of a configuration,
+// the claimant of a claim, and the ID of an order or a retry; applying one of the
+// other commands again sets the same state.
 type Command struct {
 	// Now is the replicated clock in milliseconds, stamped by the leader.
 	Now int64 `cbor:"1,keyasint"`
-	// Wall is the leader's wall clock in Unix milliseconds. It is kept to be
-	// shown, and nothing is decided by it.
+	// Wall is the leader's wall clock in Unix milliseconds. It is stored for
+	// display only; no decision depends on it.
 	Wall   int64          `cbor:"2,keyasint,omitempty"`
 	Config *ConfigPut     `cbor:"3,keyasint,omitempty"`
 	Claim  *claim.Request `cbor:"4,keyasint,omitempty"`
@@ -59,55 +64,55 @@
 	Order  *order.Command `cbor:"6,keyasint,omitempty"`
 	Member *MemberInfo    `cbor:"7,keyasint,omitempty"`
 	Drain  *Drain         `cbor:"8,keyasint,omitempty"`
-	// Retry asks for one retry out of the fleet's budget.
+	// Retry asks for one grant from the fleet's shared retry budget, or returns one.
 	Retry *retrybudget.Ask `cbor:"9,keyasint,omitempty"`
-	// Evacuation empties an availability zone or takes it back.
+	// Evacuation starts or finishes the evacuation of an availability zone.
 	Evacuation *Evacuation `cbor:"10,keyasint,omitempty"`
-	// Limit tells what a target says of its limit.
+	// Limit reports the limit that a target stated.
 	Limit *LimitStatement `cbor:"11,keyasint,omitempty"`
 }
 
-// Result is what one command came to. Reason is empty when it took effect, or
-// had done so before.
+// Result is the outcome of one command. Reason is empty if the command took effect,
+// or if an equal one had taken effect before.
 type Result struct {
 	Reason  api.Reason      `cbor:"1,keyasint,omitempty"`
 	Message string          `cbor:"2,keyasint,omitempty"`
 	Config  *ConfigResult   `cbor:"3,keyasint,omitempty"`
 	Claim   *claim.Decision `cbor:"4,keyasint,omitempty"`
 	Order   *order.Order    `cbor:"5,keyasint,omitempty"`
-	// RetryAfter tells when asking again makes sense, zero when unknown.
+	// RetryAfter is how long to wait before asking again, zero if unknown.
 	RetryAfter time.Duration       `cbor:"6,keyasint,omitempty"`
 	Retry      *retrybudget.Answer `cbor:"7,keyasint,omitempty"`
-	// Limit is what is known of a target's limit after a statement.
+	// Limit is the target's limit after a statement.
 	Limit *TargetLimit `cbor:"8,keyasint,omitempty"`
 }
 
-// ErrFormat reports a snapshot that this version can't read.
+// ErrFormat reports a snapshot in a format that this release cannot read.
 var ErrFormat = errors.New("unknown format of the state's snapshot")
 
-// State is the composite. See the package comment.
+// State is the whole replicated state. See the package comment.
 type State struct {
-	limits  Limits
-	index   uint64
-	now     int64
-	config  configs
-	claims  *claim.Table
-	orders  *order.Table
-	members map[uint64]MemberInfo
-	drains  map[api.TargetID]Drain
-	drained uint64
-	retries *retrybudget.Pool
-	// zones are the last orders by availability zone, evacuated the log index of the
-	// newest.
-	zones     map[api.Zone]ZoneOrder
-	evacuated uint64
-	// targetLimits are the limits that targets name, limitsAt the log index of the last
+	limits     Limits
+	index      uint64
+	now        int64
+	config     configs
+	claims     *claim.Table
+	orders     *order.Table
+	members    map[uint64]MemberInfo
+	drains     map[api.TargetID]Drain
+	drainIndex uint64
+	retries    *retrybudget.Pool
+	// zones holds the last order of each availability zone, evacuationIndex the highest of
+	// their log indexes.
+	zones           map[api.Zone]ZoneOrder
+	evacuationIndex uint64
+	// targetLimits holds the limits of targets, limitsIndex the log index of their last
 	// change.
 	targetLimits map[api.TargetID]TargetLimit
-	limitsAt     uint64
+	limitsIndex  uint64
 }
 
-// New gives the state before the first command.
+// New returns the state before the first command.
 func New(l Limits) *State {
 	return &State{
 		limits:  l,
@@ -123,27 +128,27 @@
 	}
 }
 
-// Index is the log index of the last command applied.
+// Index returns the log index of the last command applied.
 func (s *State) Index() uint64 { return s.index }
 
-// Now is the replicated clock.
+// Now returns the replicated clock in milliseconds.
 func (s *State) Now() int64 { return s.now }
 
-// Claims gives the claims, to be read between two calls of Apply.
+// Claims returns the claims table. It must not be read during Apply.
 func (s *State) Claims() *claim.Table { return s.claims }
 
-// Orders gives the orders, to be read between two calls of Apply.
+// Orders returns the orders table. It must not be read during Apply.
 func (s *State) Orders() *order.Table { return s.orders }
 
-// Members gives what each control member told of itself.
+// Members returns what the control members published about themselves, by member ID.
 func (s *State) Members() map[uint64]MemberInfo { return s.members }
 
-// Retries gives the pool of retries, to be read between two calls of Apply.
+// Retries returns the shared retry budget. It must not be read during Apply.
 func (s *State) Retries() *retrybudget.Pool { return s.retries }
 
-// Apply carries out the command at a log index. A command that can't be decoded
-// is refused in the same way on every member. An index at or below the last one
-// is refused too: applying it again could grant a claim twice.
+// Apply applies the command at a log index. A command that cannot be decoded is
+// refused in the same way on every member. An index at or below the last one is
+// refused as well, because applying a command again could grant a claim twice.
 func (s *State) Apply(index uint64, data []byte) Result {
 	if index <= s.index {
 		return Result{Reason: api.ReasonInternal, Message: fmt.Sprintf("log index %d comes after %d", index, s.index)}
--- a/core/state/state_test.go
+++ b/core/state/state_test.go
@@ -15,7 +15,7 @@
 	"almondseam.dev/core/retrybudget"
 )
 
-// log applies commands with rising indexes.
+// log applies commands to a state under increasing log indexes.
 type log struct {
 	t     testing.TB
 	s     *State
@@ -37,7 +37,7 @@
 	return *l.apply(Command{Config: &ConfigPut{ChangeID: id, Author: author, Base: base, Document: []byte(doc)}}).Config
 }
 
-// reload takes the state through its snapshot, as a new or lagging member does.
+// reload restores the state from its snapshot, as a new or lagging member does.
 func (l *log) reload() {
 	data, err := l.s.Snapshot()
 	if err != nil {
@@ -48,8 +48,8 @@
 	}
 }
 
-// Two operators hold revision 1 and both send a change. Exactly one wins; the
-// other is told who was first and with which change.
+// Two operators send a change based on revision 1. Exactly one is accepted; the
+// refusal of the other names the author and the ID of the accepted change.
 func TestRacingOperators(t *testing.T) {
 	c := qt.New(t)
 	l := newLog(t)
@@ -64,9 +64,9 @@
 	c.Assert(string(l.s.Current().Document), qt.Equals, "two")
 }
 
-// The answer to a change is lost and the operator sends it again, after another
-// change, and after the member that answers was restored from a snapshot. Both
-// an accepted and a refused change get their first answer.
+// An operator repeats a change because its answer was lost. Meanwhile another
+// change was accepted and the member was restored from a snapshot. An accepted and
+// a refused change must both get their first answer.
 func TestResentChangeGetsItsFirstAnswer(t *testing.T) {
 	c := qt.New(t)
 	l := newLog(t)
@@ -82,7 +82,7 @@
 	lostAgain.Repeated = false
 	c.Assert(lostAgain, qt.DeepEquals, lost)
 	c.Assert(l.s.Current().Revision, qt.Equals, api.Revision(2))
-	// The same command again names the revision that is in force by now.
+	// A repeated command may name the revision now in force as its base.
 	rebased := l.put("c0", "ana", 2, "one")
 	c.Assert(rebased.Repeated, qt.IsTrue)
 	c.Assert(rebased.Revision, qt.Equals, first.Revision)
@@ -123,9 +123,9 @@
 	c.Assert(l.s.Current().Revision, qt.Equals, api.Revision(1))
 }
 
-// A new leader's clock starts at what was applied, but a command stamped by an
-// old leader may still be in the log behind it. The clock must not go back, or a
-// claim would count as younger than it is.
+// A new leader's clock starts at the last time applied, but the log may still hold a
+// later command stamped by the old leader. The clock must not go back, or a claim
+// would count as younger than it is.
 func TestClockNeverGoesBack(t *testing.T) {
 	c := qt.New(t)
 	l := newLog(t)
@@ -165,7 +165,7 @@
 			got, ok := p.Apply([]byte(tc.from))
 			c.Assert(ok, qt.IsTrue)
 			c.Assert(string(got), qt.Equals, tc.to)
-			// On another document it gives the right result or none.
+			// On another document the patch gives the right result or fails.
 			got, ok = p.Apply([]byte("x" + tc.from + "y"))
 			c.Assert(!ok || string(got) == tc.to, qt.IsTrue)
 			c.Assert(ok, qt.Equals, p.Prefix+p.Suffix == 0)
@@ -173,9 +173,9 @@
 	}
 }
 
-// Random commands on two members, one of which is restored from a snapshot now
-// and then. They answer alike and end with equal bytes; the revision never goes
-// back and no key has two live grants.
+// Applies random commands to two members, one of which is sometimes restored from a
+// snapshot. Their results and final snapshots must be equal, the revision must
+// never decrease, and no key may have two grants in force.
 func TestMembersAgree(t *testing.T) {
 	for seed := range uint64(100) {
 		r := rand.New(rand.NewPCG(seed, 2))
@@ -220,7 +220,7 @@
 	return Command{Now: now, Order: &order.Command{Op: order.OpSubmit, ID: fmt.Sprint("o", r.IntN(9)), Spec: order.Spec{Target: "t", Action: order.ActionChangeRole, Role: key}}}
 }
 
-// checkGrant follows the grant in force of each key: a second one may come only
+// checkGrant tracks the grant in force of each key. A second grant is allowed only
 // after the first was released.
 func checkGrant(t *testing.T, seed uint64, cmd Command, r Result, grants map[string]uint64) {
 	if cmd.Report != nil && r.Reason == "" && cmd.Report.Outcome == api.OutcomeNotRun {
@@ -236,9 +236,9 @@
 	grants[key] = r.Claim.Record.Grant
 }
 
-// A change of configuration slows the loads down. The pace holds from that
-// command on, also at a member that is restored from a snapshot; a change that
-// is refused, or one that is sent again after a later one, does not move it.
+// An accepted configuration sets the pace of loads from that command on, also on a
+// member restored from a snapshot. A refused change, or one repeated after a later
+// change, must not alter the pace.
 func TestConfigurationSetsThePaceOfLoads(t *testing.T) {
 	l := newLog(t)
 	now := int64(0)
@@ -260,15 +260,15 @@
 		}
 	}
 	if put("stale", 0, 9).Accepted || load() != api.ReasonQueueFull {
-		t.Fatal("a refused change moved the pace")
+		t.Fatal("a refused change altered the pace")
 	}
 	put("three", 1, 3)
 	l.reload()
 	if load() != "" || load() != api.ReasonQueueFull {
-		t.Fatal("the pace of the snapshot is not three loads")
+		t.Fatal("the pace after the restore is not three loads")
 	}
 	if !put("two", 0, 2).Repeated {
-		t.Fatal("not told as repeated")
+		t.Fatal("the repeated change is not marked as repeated")
 	}
 	put("four", 2, 4)
 	if load() != "" || load() != api.ReasonQueueFull {
@@ -276,8 +276,8 @@
 	}
 }
 
-// TestRetriesSurviveASnapshot guards against retries that are granted a second time by a
-// member that was restored.
+// TestRetriesSurviveASnapshot guards against a member that grants retries beyond the budget
+// after it was restored from a snapshot.
 func TestRetriesSurviveASnapshot(t *testing.T) {
 	c := qt.New(t)
 	l := newLog(t)
--- a/core/state/version_test.go
+++ b/core/state/version_test.go
@@ -6,9 +6,9 @@
 	qt "github.com/frankban/quicktest"
 )
 
-// Operators send whole documents under versions of their own, at the same time, in
-// the wrong order, and again when an answer was lost. None of them may be refused,
-// and the highest version alone is in force.
+// Operators send whole documents under version numbers that they choose themselves:
+// concurrently, out of order, and again when an answer was lost. Every put must be
+// accepted, and only the highest version may be in force.
 func TestHighestVersionIsInForce(t *testing.T) {
 	type put struct {
 		version uint64
@@ -39,7 +39,7 @@
 	}
 }
 
-// A version that is too large is refused and takes no number.
+// Checks that a document that is too large is refused and does not advance the version.
 func TestVersionedDocumentIsBounded(t *testing.T) {
 	c := qt.New(t)
 	limits := DefaultLimits()
