--- a/core/routeconf/homes.go
+++ b/core/routeconf/homes.go
@@ -6,23 +6,23 @@
 	"almondseam.dev/core/api"
 )
 
-// Homes are the regions in which requests may be served. Nil homes are not said: any region
-// will do.
+// Homes lists the regions in which requests may be served. An empty list allows every region.
 type Homes []api.Region
 
-// Allows tells whether a region is among the homes. A region that is not known, as that of a
-// target in a zone that the settings do not name, is in no home.
+// Allows reports whether requests may be served in a region. The empty region, which a target
+// has if the settings do not name its availability zone, is only allowed by an empty list.
 func (h Homes) Allows(r api.Region) bool {
 	return len(h) == 0 || slices.Contains(h, r)
 }
 
-// Served tells whether a request of the route and the customer, which may be nil, may be
-// served in a region. Where both have homes both bind.
+// Served reports whether a request of the customer, which may be nil, on this route may be
+// served in a region. If both the route and the customer list regions, both lists apply.
 func (r *Route) Served(c *Customer, in api.Region) bool {
 	return r.Homes.Allows(in) && (c == nil || c.Homes.Allows(in))
 }
 
-// CheckRegions tells whether all homes are regions that there are; none known checks nothing.
+// CheckRegions returns an error if a route or customer allows a region that is not known. It
+// checks nothing if no regions are known.
 func (t *Table) CheckRegions(known []api.Region) error {
 	if len(known) == 0 {
 		return nil
--- a/core/routeconf/homes_test.go
+++ b/core/routeconf/homes_test.go
@@ -8,20 +8,20 @@
 	"almondseam.dev/core/api"
 )
 
-// In which regions a request may be served: where route and customer both have homes, both
-// bind.
+// Checks in which regions a request may be served. If the route and the customer both list
+// regions, both lists apply.
 func TestServed(t *testing.T) {
 	for _, tt := range []struct {
 		name            string
 		route, customer Homes
 		want            []api.Region
 	}{
-		{"no homes", nil, nil, []api.Region{"north", "south", ""}},
-		{"the route's", Homes{"north"}, nil, []api.Region{"north"}},
-		{"the customer's", nil, Homes{"south"}, []api.Region{"south"}},
-		{"both", Homes{"north", "south"}, Homes{"south", "east"}, []api.Region{"south"}},
-		{"nothing in common", Homes{"north"}, Homes{"south"}, nil},
-		{"named twice", Homes{"north", "north"}, nil, []api.Region{"north"}},
+		{"no list", nil, nil, []api.Region{"north", "south", ""}},
+		{"list of the route", Homes{"north"}, nil, []api.Region{"north"}},
+		{"list of the customer", nil, Homes{"south"}, []api.Region{"south"}},
+		{"both lists", Homes{"north", "south"}, Homes{"south", "east"}, []api.Region{"south"}},
+		{"disjoint lists", Homes{"north"}, Homes{"south"}, nil},
+		{"region listed twice", Homes{"north", "north"}, nil, []api.Region{"north"}},
 	} {
 		t.Run(tt.name, func(t *testing.T) {
 			c := qt.New(t)
@@ -38,8 +38,8 @@
 	qt.New(t).Assert((&Route{}).Served(nil, "north"), qt.IsTrue)
 }
 
-// A home that is no region of the fleet is a mistake that would leave its callers without
-// any target.
+// Guards against accepting a region that does not exist in the fleet, which would leave the
+// requests concerned without any target.
 func TestUnknownHomesAreInvalid(t *testing.T) {
 	c := qt.New(t)
 	known := []api.Region{"north", "south"}
@@ -54,6 +54,6 @@
 	} {
 		err := tt.table.CheckRegions(known)
 		c.Assert(err == nil, qt.Equals, tt.valid, qt.Commentf("%v", err))
-		c.Assert(tt.table.CheckRegions(nil), qt.IsNil, qt.Commentf("the regions are not known"))
+		c.Assert(tt.table.CheckRegions(nil), qt.IsNil, qt.Commentf("no known regions"))
 	}
 }
--- a/core/routeconf/routeconf.go
+++ b/core/routeconf/routeconf.go
@@ -1,7 +1,8 @@
-// Package routeconf is the configuration of routed traffic: which host and path
-// prefix goes to which services, what may be repeated there, who may call, and
-// what a caller may send. A Table is the compiled form that requests are looked
-// up in; it is immutable and shared by all goroutines.
+// Package routeconf holds the configuration of routed traffic: which host and
+// path prefix is routed to which services, which requests may be retried, which
+// customers may call, and how much a caller may send. A Table is the compiled
+// form in which requests are looked up; it is immutable and safe for concurrent
+// use.
 package routeconf
 
 import (
@@ -10,19 +11,20 @@
 	"almondseam.dev/core/api"
 )
 
-// Kind says what may be repeated of a route's requests.
+// Kind determines whether the requests of a route may run more than once.
 type Kind uint8
 
-// The kinds. Idempotent requests may run more than once. Once requests run at
-// most once for each attempt of a caller. Stream answers are series of events,
-// at most once too unless the route may resume them.
+// The kinds. Requests of KindIdempotent may run more than once. Requests of
+// KindOnce run at most once per attempt of the caller. The response to a request
+// of KindStream is a stream of events; the request also runs at most once, unless
+// the route is Resumable.
 const (
 	KindIdempotent Kind = iota + 1
 	KindOnce
 	KindStream
 )
 
-// String names the kind in logs.
+// String returns the name of the kind.
 func (k Kind) String() string {
 	switch k {
 	case KindIdempotent:
@@ -35,48 +37,48 @@
 	return "unknown"
 }
 
-// Config is one whole version of the configuration, as the operator sent it.
+// Config is one complete version of the configuration.
 type Config struct {
 	Version   uint64
 	Routes    []Route
 	Services  []Service
 	Customers []Customer
 	Limits    Limits
-	// HasCustomers tells that the configuration names customers at all; without
-	// them no key is asked for.
+	// HasCustomers is set if the configuration has a list of customers. Without
+	// one, callers need no key.
 	HasCustomers bool
 }
 
-// Route sends the requests of one host and path prefix to services.
+// Route assigns the requests of one host and path prefix to services.
 type Route struct {
 	Name   string
 	Host   string
 	Prefix string // begins and ends with a slash
 	Kind   Kind
-	// Timeout is the longest time that a caller is kept waiting for the end of
-	// its answer, from when its request was read.
+	// Timeout bounds the time from reading a request to the end of its response.
 	Timeout time.Duration
-	// Objective is how soon an answer should begin, from when its request was read;
-	// zero if the operator does not say.
+	// Objective is the intended time from reading a request to the beginning of its
+	// response, zero if the operator sets none.
 	Objective time.Duration
-	// MaxTargets is the number of targets that one attempt of a caller may be
-	// sent to.
+	// MaxTargets is the maximum number of targets to which one attempt of a caller
+	// may be sent.
 	MaxTargets int
-	// Rank orders routes under pressure: 0 goes first.
+	// Rank is the priority of the route's requests under overload; 0 is the highest.
 	Rank int
-	// Public routes ask for no key.
+	// Public routes require no key.
 	Public bool
-	// Resumable streams may be run again from the event after the last one that
-	// the caller has.
+	// Resumable marks streams that may be run again, continuing after the last
+	// event that the caller has received.
 	Resumable bool
-	// Generates marks routes whose requests tell their model, tokens and prompt.
+	// Generates marks routes of text generation, whose requests state their model,
+	// number of tokens and prompt.
 	Generates bool
-	// Homes are the regions in which the route's requests may be served.
+	// Homes lists the regions in which the route's requests may be served.
 	Homes Homes
 	Split []Share
 }
 
-// Share is one service of a route and its weight among the route's services.
+// Share is one service of a route with its weight among the services of the route.
 type Share struct {
 	Service api.ServiceID
 	Weight  int
@@ -85,38 +87,39 @@
 // Service is a group of targets that serve the same requests.
 type Service struct {
 	Name api.ServiceID
-	// ColdFor is how long a target is cold after it has started, zero if never. ColdRate is
-	// how many requests a second it bears while it is cold; zero sets no bound.
+	// ColdFor is how long a target is cold after its start, zero if it never is. ColdRate
+	// bounds the requests per second to a cold target; zero sets no bound.
 	ColdFor  time.Duration
 	ColdRate float64
-	// Connections is how many connections one target accepts from all instances together,
-	// zero if that is not known.
+	// Connections is the number of connections that one target accepts from all instances
+	// together, zero if unknown.
 	Connections int
-	// Engine is set for services of model engines.
+	// Engine is set for services whose targets are model engines, nil for others.
 	Engine *Engine
 }
 
-// Engine tells what the engines of a service can do.
+// Engine describes the capabilities of the model engines of a service.
 type Engine struct {
-	// Reserves is for how long an engine sets room aside at most; zero where it does
-	// not.
+	// Reserves is the maximum duration of a memory reservation at an engine, zero if
+	// the engines support no reservations.
 	Reserves time.Duration
-	// CacheTokens is the memory of one engine in tokens.
+	// CacheTokens is the capacity of one engine's KV cache in tokens.
 	CacheTokens int
-	// BytesPerToken is what one token takes when it is moved between engines.
+	// BytesPerToken is the number of bytes transferred per token when a request's KV
+	// cache is moved between engines.
 	BytesPerToken int
-	// LinkMbps is the rate of moves between engines, megabits a second.
+	// LinkMbps is the transfer rate between engines in megabits per second.
 	LinkMbps float64
-	// Moves and Backups tell that a running request can be moved to another
-	// engine, and that its memory can be copied there as it grows.
+	// Moves is set if a running request can be moved to another engine, Backups if
+	// its KV cache can be copied to another engine as it grows.
 	Moves   bool
 	Backups bool
-	// TokensPerEvent is how many tokens one event of a stream holds.
+	// TokensPerEvent is the number of tokens in one event of a stream.
 	TokensPerEvent int
 }
 
-// MoveRate is how many tokens of memory are moved between two engines in a second;
-// zero if it isn't known.
+// MoveRate returns the number of tokens per second that can be moved between two
+// engines, zero if unknown.
 func (e *Engine) MoveRate() float64 {
 	if e.BytesPerToken <= 0 {
 		return 0
@@ -125,21 +128,21 @@
 	return e.LinkMbps * megabit / bitsPerByte / float64(e.BytesPerToken)
 }
 
-// Customer is who holds keys, and in which rank its requests go before a route's.
+// Customer is a holder of keys. Its rank may override that of a route.
 type Customer struct {
 	Name api.CustomerID
 	Keys []string
-	// Rank is in force instead of the route's when HasRank is set.
+	// Rank replaces the route's rank if HasRank is set.
 	Rank    int
 	HasRank bool
-	// Homes are the regions in which the customer's requests may be served.
+	// Homes lists the regions in which the customer's requests may be served.
 	Homes Homes
 }
 
-// DefaultTimeout is that of a route whose operator names none.
+// DefaultTimeout is the timeout of a route for which the operator sets none.
 const DefaultTimeout = time.Minute
 
-// Limits bound what a caller may send, in bytes; zero is no bound.
+// Limits bounds the size of a request in bytes; zero sets no bound.
 type Limits struct {
 	HeaderBytes int
 	BodyBytes   int
--- a/core/routeconf/table.go
+++ b/core/routeconf/table.go
@@ -10,7 +10,7 @@
 	"almondseam.dev/core/api"
 )
 
-// ErrInvalid reports a configuration that can't be put in force.
+// ErrInvalid reports a configuration that cannot be put in force.
 var ErrInvalid = errors.New("invalid routing configuration")
 
 // Table is a compiled Config.
@@ -21,7 +21,7 @@
 	keys     map[string]*Customer
 }
 
-// Compile checks a configuration and gives its table.
+// Compile validates a configuration and returns its table.
 func Compile(c Config) (*Table, error) {
 	t := &Table{
 		Config:   c,
@@ -72,7 +72,7 @@
 	if err := t.checkSplit(r); err != nil {
 		return err
 	}
-	host := normalHost(r.Host)
+	host := normalizeHost(r.Host)
 	for _, other := range t.hosts[host] {
 		if other.Prefix == r.Prefix {
 			return invalid("routes %q and %q share host %q and prefix %q", other.Name, r.Name, r.Host, r.Prefix)
@@ -109,18 +109,19 @@
 	return nil
 }
 
-// normalHost drops a port and the case, neither of which selects a route.
-func normalHost(host string) string {
+// normalizeHost removes the port and lowers the case, neither of which selects a
+// route.
+func normalizeHost(host string) string {
 	if i := strings.LastIndexByte(host, ':'); i >= 0 && !strings.HasSuffix(host, "]") {
 		host = host[:i]
 	}
 	return strings.ToLower(host)
 }
 
-// Route gives the route of a request: that with the longest prefix among those
-// of the host; nil if none fits.
+// Route returns the route of a request: among the routes of the host, the one
+// with the longest prefix of the path. It returns nil if no route matches.
 func (t *Table) Route(host, path string) *Route {
-	for _, r := range t.hosts[normalHost(host)] {
+	for _, r := range t.hosts[normalizeHost(host)] {
 		if strings.HasPrefix(path, r.Prefix) {
 			return r
 		}
@@ -128,13 +129,14 @@
 	return nil
 }
 
-// Service gives a service by name, nil if there is none.
+// Service returns a service by name, nil if there is none.
 func (t *Table) Service(name api.ServiceID) *Service { return t.services[name] }
 
-// Customer gives the holder of a key, nil if nobody holds it.
+// Customer returns the holder of a key, nil if the key is unknown.
 func (t *Table) Customer(key string) *Customer { return t.keys[key] }
 
-// Pick chooses one of the route's services by weight; draw is uniform in [0,1).
+// Pick returns one of the route's services, selected by weight. draw is a uniform
+// random number in [0,1).
 func (r *Route) Pick(draw float64) api.ServiceID {
 	total := 0
 	for _, s := range r.Split {
@@ -150,7 +152,7 @@
 	return r.Split[len(r.Split)-1].Service
 }
 
-// Repeatable tells whether a request of the route may run more than once.
+// Repeatable reports whether a request of the route may run more than once.
 func (r *Route) Repeatable() bool {
 	return r.Kind == KindIdempotent || r.Kind == KindStream && r.Resumable
 }
--- a/core/routeconf/table_test.go
+++ b/core/routeconf/table_test.go
@@ -39,7 +39,7 @@
 }
 
 func TestInvalidConfigurationsAreRefused(t *testing.T) {
-	for name, spoil := range map[string]func(*Config){
+	for name, mutate := range map[string]func(*Config){
 		"no version":              func(c *Config) { c.Version = 0 },
 		"unknown service":         func(c *Config) { c.Routes[0].Split[0].Service = "u" },
 		"two routes in one place": func(c *Config) { c.Routes[1].Prefix = "/" },
@@ -53,7 +53,7 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			conf := valid()
-			spoil(&conf)
+			mutate(&conf)
 			_, err := Compile(conf)
 			qt.New(t).Assert(err, qt.ErrorIs, ErrInvalid)
 		})
