--- a/core/order/order_test.go
+++ b/core/order/order_test.go
@@ -20,23 +20,23 @@
 
 func TestOneOrderInFlight(t *testing.T) {
 	l := DefaultLimits()
-	past := (l.Lease + l.Margin).Milliseconds() + 1
+	afterLease := (l.Lease + l.Margin).Milliseconds() + 1
 	for _, tc := range []struct {
 		name string
 		do   Command
 		at   int64
 		want error
 	}{
-		{"next one while in flight", take(2), 0, ErrBusy},
-		{"next one before the margin has passed", take(2), l.Lease.Milliseconds() + 1, ErrBusy},
-		{"next one once the lease ran out", take(2), past, nil},
-		{"same incarnation asks again", take(1), 0, nil},
+		{"next order while one is in flight", take(2), 0, ErrBusy},
+		{"next order before the margin has passed", take(2), l.Lease.Milliseconds() + 1, ErrBusy},
+		{"next order after lease and margin", take(2), afterLease, nil},
+		{"same incarnation takes again", take(1), 0, nil},
 		{"finished", Command{Op: OpFinish, Target: "t", Fence: 1, Incarnation: 1}, 0, nil},
 		{"finished by another incarnation", Command{Op: OpFinish, Target: "t", Fence: 1, Incarnation: 2}, 0, ErrStale},
 		{"finished with an old fence", Command{Op: OpFinish, Target: "t", Fence: 9, Incarnation: 1}, 0, ErrStale},
-		{"renewed after its lease", Command{Op: OpRenew, Target: "t", Fence: 1, Incarnation: 1}, past, ErrStale},
-		{"same ID, other order", load("a", 7), 0, ErrInvalid},
-		{"no action", Command{Op: OpSubmit, ID: "x", Spec: Spec{Target: "t"}}, 0, ErrInvalid},
+		{"renewed after its lease", Command{Op: OpRenew, Target: "t", Fence: 1, Incarnation: 1}, afterLease, ErrStale},
+		{"ID reused for another order", load("a", 7), 0, ErrInvalid},
+		{"missing action", Command{Op: OpSubmit, ID: "x", Spec: Spec{Target: "t"}}, 0, ErrInvalid},
 		{"nothing queued", Command{Op: OpTake, Target: "other", Incarnation: 1}, 0, ErrNone},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
@@ -56,8 +56,9 @@
 	}
 }
 
-// Two entries take the same order for one agent, the second 20 s later, and only
-// its copy arrives. The agent counts its lease from there, so the table must too.
+// Two entry instances take the same order for one agent, the second 20 s later,
+// and only the second copy arrives. The agent counts the lease from then on, so the
+// table must do the same.
 func TestOrderTakenAgainHasItsLeaseAnew(t *testing.T) {
 	c := qt.New(t)
 	l := DefaultLimits()
@@ -73,9 +74,9 @@
 	c.Assert(err, qt.ErrorIs, ErrBusy)
 }
 
-// Three loads are ordered for three targets while the weight store allows one at
-// a time and 100 bytes a second. The second waits for the bucket, and is told how
-// long; it is not lost.
+// Three targets are ordered to load while the weight store allows two loads at a
+// time and 100 bytes a second. The second load is refused with the time until the
+// bucket holds enough tokens and stays queued; the third waits until a load ends.
 func TestLoadsArePaced(t *testing.T) {
 	c := qt.New(t)
 	l := DefaultLimits()
@@ -102,9 +103,9 @@
 	c.Assert(from("2", 20_000), qt.IsNil)
 }
 
-// An agent gets an order, its link stalls, and the order arrives again after its
-// successor, or after the agent has restarted. The target doesn't check fences,
-// so the gate has to.
+// A duplicate of an order arrives after its successor, or after the agent has
+// restarted, because a link stalled. The target does not check fences, so the gate
+// has to reject the duplicate.
 func TestGateRefusesWhatComesLate(t *testing.T) {
 	c := qt.New(t)
 	g := NewGate(3)
@@ -127,9 +128,10 @@
 	c.Assert(restarted.Begin(at(8, 4), start.Add(time.Second), time.Second), qt.IsNil)
 }
 
-// Random commands over three targets. At each step a target has at most one
-// order in flight, fences of issued orders rise, loads stay within their bound,
-// and a table restored from the snapshot answers exactly as the first.
+// Applies random commands for three targets. At each step a target must have at
+// most one order in flight, the fences of issued orders must not decrease, the
+// loads must stay within their bound, and a table restored from a snapshot must
+// give the same answer.
 func TestRandomRuns(t *testing.T) {
 	l := DefaultLimits()
 	l.MaxLoads, l.MaxEnded, l.MaxQueued = 2, 5, 3
@@ -141,11 +143,11 @@
 		for fence := api.Fence(1); fence < 200; fence++ {
 			now += r.Int64N(15_000)
 			cmd := randomCommand(r, fence, issued)
-			twin := Restore(l, table.Snapshot())
+			restored := Restore(l, table.Snapshot())
 			got, err := table.Apply(fence, now, cmd)
-			twinGot, twinErr := twin.Apply(fence, now, cmd)
-			if got != twinGot || fmt.Sprint(err) != fmt.Sprint(twinErr) {
-				t.Fatalf("seed %d, fence %d: %v %v, but after a snapshot %v %v", seed, fence, got, err, twinGot, twinErr)
+			restoredGot, restoredErr := restored.Apply(fence, now, cmd)
+			if got != restoredGot || fmt.Sprint(err) != fmt.Sprint(restoredErr) {
+				t.Fatalf("seed %d, fence %d: %v %v, but after a snapshot %v %v", seed, fence, got, err, restoredGot, restoredErr)
 			}
 			if cmd.Op == OpTake && err == nil {
 				if got.Fence < issued[got.Spec.Target] {
@@ -189,8 +191,8 @@
 	}
 }
 
-// The weight store's rate is changed while loads wait for its bucket: what the
-// old rate granted until then stays, and the rest comes at the new one.
+// The rate of the weight store is changed while loads wait for the token bucket.
+// Tokens accrued at the old rate are kept, and later ones accrue at the new rate.
 func TestPaceChangesWhileLoadsWait(t *testing.T) {
 	c := qt.New(t)
 	l := DefaultLimits()
--- a/core/order/table.go
+++ b/core/order/table.go
@@ -11,58 +11,59 @@
 	"almondseam.dev/core/api"
 )
 
-// Refusals, wrapped in an api.Error.
+// The errors of refused commands, each wrapped in an api.Error.
 var (
 	// ErrStale: the fence is not that of the order in flight.
 	ErrStale = errors.New("fence is not that of the order in flight")
-	// ErrBusy: another order is in flight, or its lease has not run out.
+	// ErrBusy: another order is in flight and its lease has not expired.
 	ErrBusy = errors.New("another order to the target is in flight")
-	// ErrPaced: the weight store is fully used.
+	// ErrPaced: the rate of the weight store or the bound on loads is used up.
 	ErrPaced = errors.New("loads from the weight store are paced")
-	// ErrNone: nothing is queued for the target.
+	// ErrNone: no order is queued for the target.
 	ErrNone = errors.New("no order is queued for the target")
-	// ErrInvalid: the order says nothing that could be carried out.
+	// ErrInvalid: the order or the operation is malformed, or its ID was used for
+	// another order.
 	ErrInvalid = errors.New("order is invalid")
-	// ErrQueueFull: too many orders wait for the target.
+	// ErrQueueFull: the target's queue is full.
 	ErrQueueFull = errors.New("too many orders wait for the target")
 )
 
-// Table holds all orders. See the package comment.
+// Table holds the orders of all targets. See the package comment.
 type Table struct {
 	limits  Limits
 	byID    map[string]*Order
-	targets map[api.TargetID]*lane
+	targets map[api.TargetID]*targetQueue
 	ended   []*Order
 	loads   int
-	// soonest is no later than the first lease to run out, so that Expire looks
-	// at the targets only when it may find one.
-	soonest int64
-	// tokens is what may be read from the weight store at refilled; it goes
-	// below zero when a load is larger than the burst.
+	// nextExpiry is no later than the earliest end of a lease, so that Expire scans
+	// the targets only when one may have expired.
+	nextExpiry int64
+	// tokens is the level of the load bucket in bytes at the time refilled. It goes
+	// below zero after a load that is larger than the burst.
 	tokens   int64
 	refilled int64
-	paced    *Pace
+	pace     *Pace
 	version  uint64
 }
 
-// lane is the orders of one target.
-type lane struct {
+// targetQueue holds the queued orders of one target and the one in flight.
+type targetQueue struct {
 	queued   []*Order
 	inFlight *Order
 }
 
-// NewTable gives an empty table.
+// NewTable returns an empty table.
 func NewTable(l Limits) *Table {
 	return &Table{
 		limits:  l,
 		byID:    make(map[string]*Order),
-		targets: make(map[api.TargetID]*lane),
+		targets: make(map[api.TargetID]*targetQueue),
 		tokens:  l.LoadBurst,
 	}
 }
 
-// Apply carries out a command whose log index is fence, at replicated time now.
-// The order is a copy of the one that the command was about.
+// Apply applies a command whose log index is fence, at replicated time now. It
+// returns a copy of the order that the command refers to.
 func (t *Table) Apply(fence api.Fence, now int64, c Command) (Order, error) {
 	t.Expire(now)
 	switch c.Op {
@@ -90,7 +91,7 @@
 	}
 	l := t.targets[c.Spec.Target]
 	if l == nil {
-		l = &lane{}
+		l = &targetQueue{}
 		t.targets[c.Spec.Target] = l
 	}
 	if len(l.queued) >= t.limits.MaxQueued {
@@ -103,12 +104,12 @@
 	return *o, nil
 }
 
-// take hands out the next order. While one is in flight the same incarnation
-// gets it again, for its answer may have been lost or another entry asks; the
-// lease then counts anew, since the agent counts from whichever copy reaches it.
-// Another incarnation has to
-// wait for the lease: the earlier agent may still be about to pass the order to
-// a target that ignores fences.
+// take issues the next order. If an order is in flight for the same incarnation,
+// take returns it again, because the first answer may have been lost or the agent
+// asks through another entry instance. The lease then restarts, since the agent
+// counts it from whichever copy arrives.
+// Another incarnation has to wait until the lease expires, because the earlier one
+// may still be about to forward the order to a target that ignores fences.
 func (t *Table) take(now int64, c Command) (Order, error) {
 	l := t.targets[c.Target]
 	if l == nil || l.inFlight == nil && len(l.queued) == 0 {
@@ -119,10 +120,10 @@
 			o.Lease = now + t.limits.Lease.Milliseconds()
 			return *o, nil
 		}
-		return Order{}, refuse(api.ReasonStaleFence, c.Target, t.untilFree(o, now), ErrBusy)
+		return Order{}, refuse(api.ReasonStaleFence, c.Target, t.leaseRemaining(o, now), ErrBusy)
 	}
 	o := l.queued[0]
-	if wait, ok := t.pace(now, o.Spec); !ok {
+	if wait, ok := t.admitLoad(now, o.Spec); !ok {
 		return Order{}, refuse(api.ReasonQueueFull, c.Target, wait, ErrPaced)
 	}
 	l.queued = l.queued[1:]
@@ -131,12 +132,13 @@
 	o.State = StateIssued
 	o.Incarnation = c.Incarnation
 	o.Lease = now + t.limits.Lease.Milliseconds()
-	t.soonest = min(t.soonest, o.Lease)
+	t.nextExpiry = min(t.nextExpiry, o.Lease)
 	return *o, nil
 }
 
-// pace takes the load's bytes from the fleet's bucket, or tells how long to wait.
-func (t *Table) pace(now int64, s Spec) (time.Duration, bool) {
+// admitLoad takes the bytes of a load from the fleet's token bucket. If the bucket or
+// MaxLoads does not allow the load, it returns how long to wait and false.
+func (t *Table) admitLoad(now int64, s Spec) (time.Duration, bool) {
 	if !s.Action.loads() {
 		return 0, true
 	}
@@ -154,31 +156,32 @@
 	return 0, true
 }
 
-// SetPace changes the pace of the loads handed out from replicated time now on.
-// What the old rate has granted until then is kept, and loads in flight beyond a
-// lowered bound go on. A pace that is not positive is ignored.
+// SetPace changes the pace of loads from replicated time now on. Tokens that have
+// accrued at the old rate are kept, and loads in flight beyond a lowered bound
+// continue. A pace with a bound that is not positive is ignored.
 func (t *Table) SetPace(now int64, p Pace) {
 	if p.MaxLoads <= 0 || p.LoadBytesPerSecond <= 0 {
 		return
 	}
 	t.refill(now)
-	t.usePace(p)
+	t.applyPace(p)
 }
 
-func (t *Table) usePace(p Pace) {
-	t.paced = &p
+func (t *Table) applyPace(p Pace) {
+	t.pace = &p
 	t.limits.MaxLoads, t.limits.LoadBytesPerSecond = p.MaxLoads, p.LoadBytesPerSecond
 }
 
+// refill adds the tokens that have accrued since the last call.
 func (t *Table) refill(now int64) {
-	passed := now - t.refilled
+	elapsed := now - t.refilled
 	t.refilled = now
 	full := (t.limits.LoadBurst - t.tokens) * 1000 / t.limits.LoadBytesPerSecond
-	if passed > full {
+	if elapsed > full {
 		t.tokens = t.limits.LoadBurst
 		return
 	}
-	t.tokens += passed * t.limits.LoadBytesPerSecond / 1000
+	t.tokens += elapsed * t.limits.LoadBytesPerSecond / 1000
 }
 
 func (t *Table) renew(now int64, c Command) (Order, error) {
@@ -203,6 +206,7 @@
 	return *o, nil
 }
 
+// inFlight returns the order in flight with the target, fence and incarnation of c.
 func (t *Table) inFlight(c Command) (*Order, error) {
 	l := t.targets[c.Target]
 	if l == nil || l.inFlight == nil || l.inFlight.Fence != c.Fence || l.inFlight.Incarnation != c.Incarnation {
@@ -231,39 +235,40 @@
 	}
 }
 
-// Expire ends the orders in flight whose lease and margin have run out.
+// Expire ends the orders in flight whose lease and margin have expired.
 func (t *Table) Expire(now int64) {
-	if now < t.soonest {
+	if now < t.nextExpiry {
 		return
 	}
-	var late []*Order
-	t.soonest = math.MaxInt64
+	var expired []*Order
+	t.nextExpiry = math.MaxInt64
 	for _, l := range t.targets {
 		o := l.inFlight
 		if o == nil {
 			continue
 		}
-		if t.untilFree(o, now) <= 0 {
-			late = append(late, o)
+		if t.leaseRemaining(o, now) <= 0 {
+			expired = append(expired, o)
 		} else {
-			t.soonest = min(t.soonest, o.Lease)
+			t.nextExpiry = min(t.nextExpiry, o.Lease)
 		}
 	}
-	sort.Slice(late, func(i, j int) bool { return late[i].Fence < late[j].Fence })
-	for _, o := range late {
+	sort.Slice(expired, func(i, j int) bool { return expired[i].Fence < expired[j].Fence })
+	for _, o := range expired {
 		t.end(o, now, StateExpired, "lease ran out")
 	}
 }
 
-func (t *Table) untilFree(o *Order, now int64) time.Duration {
+// leaseRemaining returns the time until the lease and margin of o have expired.
+func (t *Table) leaseRemaining(o *Order, now int64) time.Duration {
 	return time.Duration(o.Lease-now+1)*time.Millisecond + t.limits.Margin
 }
 
-// Version changes whenever Ready may give something else. It counts within one
-// process and is no part of the replicated state.
+// Version changes whenever the result of Ready may change. It is local to the
+// process and not part of the replicated state.
 func (t *Table) Version() uint64 { return t.version }
 
-// Ready gives the targets that have an order waiting and none in flight.
+// Ready returns the targets that have an order queued and none in flight.
 func (t *Table) Ready() []api.TargetID {
 	var out []api.TargetID
 	for id, l := range t.targets {
@@ -275,7 +280,7 @@
 	return out
 }
 
-// List gives all orders known, by fence.
+// List returns all orders kept, sorted by fence.
 func (t *Table) List() []Order {
 	out := make([]Order, 0, len(t.byID))
 	for _, o := range t.byID {
@@ -286,7 +291,7 @@
 }
 
 // Image is the table's content in a snapshot. Ended lists the IDs of ended
-// orders in the order of their end.
+// orders, sorted by when they ended.
 type Image struct {
 	Orders   []Order  `cbor:"1,keyasint"`
 	Ended    []string `cbor:"2,keyasint"`
@@ -296,21 +301,21 @@
 	Pace *Pace `cbor:"5,keyasint,omitempty"`
 }
 
-// Snapshot gives the table's content. Equal tables give equal images.
+// Snapshot returns the table's content. Equal tables give equal images.
 func (t *Table) Snapshot() Image {
-	img := Image{Orders: t.List(), Tokens: t.tokens, Refilled: t.refilled, Pace: t.paced}
+	img := Image{Orders: t.List(), Tokens: t.tokens, Refilled: t.refilled, Pace: t.pace}
 	for _, o := range t.ended {
 		img.Ended = append(img.Ended, o.ID)
 	}
 	return img
 }
 
-// Restore gives the table that Snapshot was taken of.
+// Restore returns the table of a snapshot.
 func Restore(limits Limits, img Image) *Table {
 	t := NewTable(limits)
 	t.tokens, t.refilled = img.Tokens, img.Refilled
 	if img.Pace != nil {
-		t.usePace(*img.Pace)
+		t.applyPace(*img.Pace)
 	}
 	for i := range img.Orders {
 		t.restore(&img.Orders[i])
@@ -328,7 +333,7 @@
 	}
 	l := t.targets[o.Spec.Target]
 	if l == nil {
-		l = &lane{}
+		l = &targetQueue{}
 		t.targets[o.Spec.Target] = l
 	}
 	if o.State == StateQueued {
