--- a/core/rollout/gate.go
+++ b/core/rollout/gate.go
@@ -2,24 +2,25 @@
 
 import "almondseam.dev/core/api"
 
-// Gate decides when a document may be put in force. D is how the process holds
-// documents. Not safe for concurrent use.
+// Gate decides when a document may be put in force. D is the type in which the
+// process holds documents. A Gate is not safe for concurrent use.
 //
-// Two rules keep a configuration from going back. While the process runs, it takes
-// no revision at or below the one it holds. A process that starts holds none, so
-// whatever comes first would do: a sender that was cut off from the majority, or a
-// delayed message, could put an old revision in force again. So a new Gate gives out
-// nothing until a majority, asked after the start, has told the highest revision
-// accepted, and it holds at least that one.
+// Two rules prevent a configuration from going back. A running process accepts no
+// revision at or below the one that it holds. A process that has just started
+// holds none and would accept any revision, so a sender that is partitioned from the
+// majority, or a delayed message, could put an old revision in force again. A new
+// Gate therefore releases nothing until a majority, queried after the start, has
+// reported the highest accepted revision and the Gate holds at least that revision.
 type Gate[D any] struct {
-	held      api.Revision
-	document  D
-	confirmed bool
-	floor     api.Revision // lowest revision that may be served, once confirmed
-	served    api.Revision
+	held        api.Revision
+	document    D
+	confirmed   bool
+	minRevision api.Revision // lowest revision that may be served, once confirmed
+	served      api.Revision
 }
 
-// Take holds a document, and gives it if it is to be put in force now.
+// Take stores a document if its revision is above the one held. It returns the
+// document and true if it is to be put in force now.
 func (g *Gate[D]) Take(rev api.Revision, document D) (D, bool) {
 	if rev <= g.held {
 		var none D
@@ -29,19 +30,22 @@
 	return g.release()
 }
 
-// Confirm takes a majority's word that nothing above rev had been accepted when
-// this process started, and gives the document held if it is to be put in force.
+// Confirm records that a majority, queried after this process started, reported rev
+// as the highest accepted revision. It returns the document held and true if the
+// document is to be put in force now. Only the first call has an effect.
 func (g *Gate[D]) Confirm(rev api.Revision) (D, bool) {
 	if g.confirmed {
 		var none D
 		return none, false
 	}
-	g.confirmed, g.floor = true, rev
+	g.confirmed, g.minRevision = true, rev
 	return g.release()
 }
 
+// release returns the document held and true if it may be served and is not in force
+// yet.
 func (g *Gate[D]) release() (D, bool) {
-	if !g.confirmed || g.held < g.floor || g.held <= g.served {
+	if !g.confirmed || g.held < g.minRevision || g.held <= g.served {
 		var none D
 		return none, false
 	}
@@ -49,11 +53,12 @@
 	return g.document, true
 }
 
-// Confirmed tells whether the majority has been heard.
+// Confirmed reports whether a majority has reported the highest accepted revision.
 func (g *Gate[D]) Confirmed() bool { return g.confirmed }
 
-// Held gives the document held, in force or not, and its revision, zero for none.
+// Held returns the document held, whether in force or not, and its revision, zero
+// if there is none.
 func (g *Gate[D]) Held() (D, api.Revision) { return g.document, g.held }
 
-// Served gives the revision in force, zero before the first.
+// Served returns the revision in force, zero before the first.
 func (g *Gate[D]) Served() api.Revision { return g.served }
--- a/core/rollout/gate_test.go
+++ b/core/rollout/gate_test.go
@@ -6,9 +6,9 @@
 	qt "github.com/frankban/quicktest"
 )
 
-// An entry starts beside a member that was cut off and holds an old revision. What
-// that member sends must not come in force before a majority has said what may be
-// served, and nothing older may come in force afterwards.
+// An entry instance starts and follows a member that is partitioned and holds an old
+// revision. Documents of that member must not be put in force before a majority has
+// reported the lowest revision that may be served, nor may an older one afterwards.
 func TestGateServesNothingOld(t *testing.T) {
 	c := qt.New(t)
 	var g Gate[[]byte]
--- a/core/rollout/log.go
+++ b/core/rollout/log.go
@@ -5,19 +5,20 @@
 	"almondseam.dev/core/fleetconfig"
 )
 
-// DefaultDeltas is how many deltas a Log keeps: at 13,000 changes a day, those
-// of almost two hours.
+// DefaultDeltas is the default number of deltas that a Log keeps. At 13,000 changes
+// a day they cover almost two hours.
 const DefaultDeltas = 1024
 
-// Log is what a sender holds: the newest document and the deltas that led to
-// it. It is used from one goroutine at a time.
+// Log holds the newest document of a sender and the deltas that led to it. It is
+// not safe for concurrent use.
 type Log struct {
 	current *fleetconfig.Document
-	deltas  []*fleetconfig.Delta // without gaps, the newest last
+	deltas  []*fleetconfig.Delta // consecutive, newest last
 	keep    int
 }
 
-// NewLog makes an empty log of keep deltas; zero means DefaultDeltas.
+// NewLog returns an empty log that keeps the given number of deltas; zero means
+// DefaultDeltas.
 func NewLog(keep int) *Log {
 	if keep <= 0 {
 		keep = DefaultDeltas
@@ -25,10 +26,10 @@
 	return &Log{keep: keep}
 }
 
-// Current gives the newest document, nil before the first.
+// Current returns the newest document, nil before the first.
 func (l *Log) Current() *fleetconfig.Document { return l.current }
 
-// Latest gives the newest revision and its digest.
+// Latest returns the newest revision and its digest.
 func (l *Log) Latest() Latest {
 	if l.current == nil {
 		return Latest{}
@@ -36,9 +37,9 @@
 	return Latest{Revision: l.current.Revision, Digest: l.current.Digest()}
 }
 
-// Append takes a document of a higher revision and gives the delta that leads
-// to it; nil for a document that is not newer. After the first document the
-// delta is nil too: nobody holds anything that it could follow.
+// Append stores a document of a higher revision and returns the delta from the
+// previous document. It ignores a document that is not newer and returns nil. It
+// also returns nil for the first document, which has no predecessor.
 func (l *Log) Append(doc *fleetconfig.Document) *fleetconfig.Delta {
 	if l.current != nil && doc.Revision <= l.current.Revision {
 		return nil
@@ -56,9 +57,9 @@
 	return d
 }
 
-// Answer gives what leads a process from what it holds to the newest revision:
-// deltas, or the whole document when whole is true. Neither is given to one
-// that needs nothing or while there is nothing.
+// Answer returns what a process needs to reach the newest revision: deltas, or
+// whole set to true if it needs the whole document. It returns neither if the
+// process needs nothing or the log is empty.
 func (l *Log) Answer(f Fetch) (deltas []*fleetconfig.Delta, whole bool) {
 	if l.current == nil || f.Have >= l.current.Revision && !f.Whole {
 		return nil, false
@@ -73,7 +74,8 @@
 	return l.deltas[from:], false
 }
 
-// find gives the place of the delta that follows a revision of a content.
+// find returns the index of the delta that starts from a revision with the given
+// digest, -1 if there is none.
 func (l *Log) find(have api.Revision, digest fleetconfig.Digest) int {
 	for i := len(l.deltas) - 1; i >= 0; i-- {
 		if l.deltas[i].From == have && l.deltas[i].Base == digest {
--- a/core/rollout/node.go
+++ b/core/rollout/node.go
@@ -1,12 +1,13 @@
-// Package rollout holds the rules by which an accepted configuration comes in
-// force on every process and never goes back.
+// Package rollout implements the rules by which an accepted configuration is put
+// in force on every process and never replaced by an older one.
 //
-// Three parts, all pure: Node decides what one process does with what it is
-// sent, Log what a sender answers a process that asks, and View what the fleet
-// is known to have applied. A value is used from one goroutine at a time; time
-// comes in as an argument.
+// Node decides what a process does with the messages that it receives, Log what a
+// sender answers to a fetch, and View which revisions are known to be in force in
+// the fleet. These types do no I/O, take the time as an argument and are not safe
+// for concurrent use.
 //
-// The same rules hold at both hops, control to entry and entry to agent.
+// The same rules apply to both hops, from control members to entry instances and
+// from entry instances to agents.
 package rollout
 
 import (
@@ -16,46 +17,47 @@
 	"almondseam.dev/core/fleetconfig"
 )
 
-// Event names what a Node did with a message; each is a label of the metric
+// Event is how a Node handled a message. The events are label values of the metric
 // almondseam_config_events_total.
 type Event string
 
 // The events.
 const (
-	// EventApplied: the message put a higher revision in the node's hands.
+	// EventApplied: the node now holds a higher revision.
 	EventApplied Event = "applied"
-	// EventStale: the message told of nothing newer, as a duplicate does.
+	// EventStale: the message contained nothing newer, as with a duplicate.
 	EventStale Event = "stale"
 	// EventGap: revisions between the one held and the message are missing.
 	EventGap Event = "gap"
-	// EventDigest: the delta does not fit the content held.
+	// EventDigest: the delta does not apply to the content held.
 	EventDigest Event = "digest"
-	// EventConflict: another content came under the revision held.
+	// EventConflict: the message has different content for the revision held.
 	EventConflict Event = "conflict"
-	// EventConfirmed: a majority told the lowest revision that may be served.
+	// EventConfirmed: a majority reported the lowest revision that may be served.
 	EventConfirmed Event = "confirmed"
-	// EventIgnored: the message answers a question that is no longer open.
+	// EventIgnored: the message is of unknown type or answers no open query.
 	EventIgnored Event = "ignored"
 )
 
-// Message is what a sender tells a Node: *Whole, *Change, *Latest or *Confirmed.
+// Message is a message from a sender to a Node: *Whole, *Change, *Latest or
+// *Confirmed.
 type Message interface{ isMessage() }
 
-// Whole is a whole document.
+// Whole carries a whole document.
 type Whole struct{ Document *fleetconfig.Document }
 
-// Change is a delta.
+// Change carries a delta.
 type Change struct{ Delta *fleetconfig.Delta }
 
-// Latest tells the revision that the sender holds. It is repeated, so that a
-// change whose message was lost is missed for one interval at most.
+// Latest announces the revision that the sender holds. It is sent periodically, so
+// that the loss of a change is noticed within about one interval.
 type Latest struct {
 	Revision api.Revision
 	Digest   fleetconfig.Digest
 }
 
-// Confirmed answers question Ask: when a majority was asked, later than the
-// question, no revision above Revision had been accepted.
+// Confirmed answers the query numbered Ask: a majority, queried after the Node sent
+// the query, had accepted no revision above Revision.
 type Confirmed struct {
 	Ask      uint64
 	Revision api.Revision
@@ -66,57 +68,57 @@
 func (*Latest) isMessage()    {}
 func (*Confirmed) isMessage() {}
 
-// Fetch asks the sender for what is missing above the revision held. Whole
-// refuses deltas: the content held fits none.
+// Fetch requests what is missing above the revision held. If Whole is set, the
+// sender must answer with a whole document, because no delta applies to the
+// content held.
 type Fetch struct {
 	Have   api.Revision
 	Digest fleetconfig.Digest
 	Whole  bool
 }
 
-// Ready is what the caller does after a Step or a Tick, in this order: it puts
-// Publish in force, reports Applied, and sends Fetch and Ask.
+// Ready lists what the caller has to do after Connect, Step or Tick, in this order:
+// put Publish in force, report Applied, send Fetch, and send the query Ask.
 type Ready struct {
 	Event Event
-	// Publish is a document to put in force; nil for none.
+	// Publish is the document to put in force, nil for none.
 	Publish *fleetconfig.Document
-	// Applied is the revision to report as in force; zero for no report.
+	// Applied is the revision to report as in force, zero for no report.
 	Applied api.Revision
-	// Fetch is a request to send; nil for none.
+	// Fetch is the request to send, nil for none.
 	Fetch *Fetch
-	// Ask is a question to send to a majority; zero for none.
+	// Ask is the number of the query to send to a majority, zero for none.
 	Ask uint64
 }
 
-// Node is the configuration state of one process that takes deltas. What may be
-// put in force is its Gate's to say.
+// Node is the configuration state of one process that receives deltas. Its Gate
+// decides what may be put in force.
 type Node struct {
 	gate      Gate[*fleetconfig.Document]
-	ask       uint64 // number of this life's question
+	queryID   uint64 // number of the query of this process
 	retry     time.Duration
 	fetchedAt time.Time
 	fetching  bool
-	whole     bool
-	askedAt   time.Time
+	needWhole bool
+	queriedAt time.Time
 }
 
-// DefaultRetry is the time after which an unanswered fetch or question is sent
-// again.
+// DefaultRetry is the time after which an unanswered fetch or query is repeated.
 const DefaultRetry = 2 * time.Second
 
-// NewNode makes the state of a process that has just started. Its question to
-// a majority carries a number drawn at random, never zero, so that a late
-// answer to the process's last life does not pass for one to this life; sent
-// again, the question keeps its number, since an answer to either will do. A
+// NewNode returns the state of a process that has just started. queryID is the
+// number of its query to a majority. It must be random and not zero, so that a late
+// answer to a query from before a restart is not taken for the answer to this one.
+// A repeated query keeps its number, because the answer to either copy is valid. A
 // retry of zero means DefaultRetry.
-func NewNode(ask uint64, retry time.Duration) *Node {
+func NewNode(queryID uint64, retry time.Duration) *Node {
 	if retry <= 0 {
 		retry = DefaultRetry
 	}
-	return &Node{ask: ask, retry: retry}
+	return &Node{queryID: queryID, retry: retry}
 }
 
-// Serving gives the document in force; nil until there is one.
+// Serving returns the document in force, nil until there is one.
 func (n *Node) Serving() *fleetconfig.Document {
 	if n.gate.Served() == 0 {
 		return nil
@@ -129,37 +131,37 @@
 	return doc
 }
 
-// Held gives the revision held, in force or not.
+// Held returns the revision held, whether in force or not.
 func (n *Node) Held() api.Revision {
 	_, rev := n.gate.Held()
 	return rev
 }
 
-// Connect starts anew with a sender: what was asked of the last one is asked
-// again. It gives the first fetch, and the question if one is still open.
+// Connect handles the connection to a new sender: requests to the previous sender
+// are repeated. It returns the first fetch, and the query if it is unanswered.
 func (n *Node) Connect(now time.Time) Ready {
 	n.fetching = false
-	r := Ready{Fetch: n.fetch(now, n.whole)}
+	r := Ready{Fetch: n.fetch(now, n.needWhole)}
 	if !n.gate.Confirmed() {
-		r.Ask = n.question(now)
+		r.Ask = n.query(now)
 	}
 	return r
 }
 
-// Tick repeats a fetch or a question that has waited too long.
+// Tick repeats a fetch or a query that has been unanswered for the retry time.
 func (n *Node) Tick(now time.Time) Ready {
 	var r Ready
 	if n.fetching && now.Sub(n.fetchedAt) >= n.retry {
 		n.fetching = false
-		r.Fetch = n.fetch(now, n.whole)
+		r.Fetch = n.fetch(now, n.needWhole)
 	}
-	if !n.gate.Confirmed() && !n.askedAt.IsZero() && now.Sub(n.askedAt) >= n.retry {
-		r.Ask = n.question(now)
+	if !n.gate.Confirmed() && !n.queriedAt.IsZero() && now.Sub(n.queriedAt) >= n.retry {
+		r.Ask = n.query(now)
 	}
 	return r
 }
 
-// Step takes one message.
+// Step handles one message.
 func (n *Node) Step(now time.Time, m Message) Ready {
 	switch m := m.(type) {
 	case *Whole:
@@ -180,11 +182,11 @@
 		return Ready{Event: EventConflict}
 	}
 	n.fetching = false
-	n.whole = false
+	n.needWhole = false
 	if doc.Revision <= n.Held() {
 		return Ready{Event: EventStale}
 	}
-	return n.take(doc)
+	return n.accept(doc)
 }
 
 func (n *Node) stepChange(now time.Time, d *fleetconfig.Delta) Ready {
@@ -193,46 +195,47 @@
 	}
 	held := n.held()
 	if held == nil || d.From != held.Revision {
-		return Ready{Event: EventGap, Fetch: n.fetch(now, n.whole)}
+		return Ready{Event: EventGap, Fetch: n.fetch(now, n.needWhole)}
 	}
 	next, err := fleetconfig.ApplyDelta(held, d)
 	if err != nil {
-		n.fetching = n.fetching && n.whole
-		n.whole = true
+		n.fetching = n.fetching && n.needWhole
+		n.needWhole = true
 		return Ready{Event: EventDigest, Fetch: n.fetch(now, true)}
 	}
 	n.fetching = false
-	return n.take(next)
+	return n.accept(next)
 }
 
 func (n *Node) stepLatest(now time.Time, m *Latest) Ready {
 	switch {
 	case m.Revision > n.Held():
-		return Ready{Event: EventGap, Fetch: n.fetch(now, n.whole)}
+		return Ready{Event: EventGap, Fetch: n.fetch(now, n.needWhole)}
 	case n.Held() != 0 && m.Revision == n.Held() && m.Digest != n.held().Digest():
 		return Ready{Event: EventConflict}
 	default:
-		n.fetching = n.fetching && n.whole // the sender has nothing newer
+		n.fetching = n.fetching && n.needWhole // the sender has nothing newer
 		return Ready{Event: EventStale}
 	}
 }
 
-// stepConfirmed takes the answer to this life's question alone. One to an
-// earlier life's may stem from before changes that the process served then.
+// stepConfirmed accepts only the answer to the query of this process. An answer to a
+// query from before a restart may predate changes that the process served at that
+// time.
 func (n *Node) stepConfirmed(now time.Time, m *Confirmed) Ready {
-	if n.gate.Confirmed() || m.Ask != n.ask {
+	if n.gate.Confirmed() || m.Ask != n.queryID {
 		return Ready{Event: EventIgnored}
 	}
 	r := Ready{Event: EventConfirmed}
 	r.publish(n.gate.Confirm(m.Revision))
 	if n.Held() < m.Revision {
-		r.Fetch = n.fetch(now, n.whole)
+		r.Fetch = n.fetch(now, n.needWhole)
 	}
 	return r
 }
 
-// take holds a higher revision and puts it in force if it may be served.
-func (n *Node) take(doc *fleetconfig.Document) Ready {
+// accept stores a higher revision and publishes it if it may be served.
+func (n *Node) accept(doc *fleetconfig.Document) Ready {
 	r := Ready{Event: EventApplied}
 	r.publish(n.gate.Take(doc.Revision, doc))
 	return r
@@ -246,8 +249,8 @@
 	r.Applied = doc.Revision
 }
 
-// fetch gives a request unless one is open: a burst of deltas behind a gap
-// would otherwise ask for the whole document once each.
+// fetch returns a request, or nil if one is outstanding. Otherwise each delta of a
+// burst behind a gap would request the whole document.
 func (n *Node) fetch(now time.Time, whole bool) *Fetch {
 	if n.fetching {
 		return nil
@@ -261,7 +264,8 @@
 	return f
 }
 
-func (n *Node) question(now time.Time) uint64 {
-	n.askedAt = now
-	return n.ask
+// query returns the number of the query and records the time at which it is sent.
+func (n *Node) query(now time.Time) uint64 {
+	n.queriedAt = now
+	return n.queryID
 }
--- a/core/rollout/property_test.go
+++ b/core/rollout/property_test.go
@@ -12,13 +12,14 @@
 	"almondseam.dev/core/fleetconfig"
 )
 
-// The run below is a fleet in virtual time: three control members, of which
-// some lag behind what was accepted, three entries that follow them, and six
-// agents that follow entries. The ways between them lose, repeat, delay and
-// reorder; processes restart and forget; senders are swapped. Checked at each
-// step: what a process serves is what was accepted under that revision, never
-// goes back while it runs, and after a restart is never older than what had
-// been accepted before the restart. Once the ways heal, all reach the newest.
+// The test below simulates a fleet in virtual time: three control members, some of
+// which lag behind the accepted revision, three entry instances that follow them, and
+// six agents that follow entry instances. Messages are lost, duplicated, delayed and
+// reordered; processes restart without their state; processes switch to other
+// senders. At each step, what a process serves must be the content accepted under that
+// revision, must not go back while the process runs, and after a restart must not be
+// older than what was accepted before the restart. Once the network is healed, all
+// processes must reach the newest revision.
 
 const (
 	members  = 3
@@ -27,42 +28,42 @@
 	runSteps = 1500
 )
 
-// process is one node, with a log to answer those behind it.
+// process is one node with a log from which it answers its followers.
 type process struct {
 	id      int
 	node    *Node
 	log     *Log
-	sender  int // process it follows; below zero a control member
+	sender  int // ID of the process it follows; below zero a control member
 	started api.Revision
 	served  api.Revision
 }
 
-// envelope is a message on its way.
+// envelope is a message in flight.
 type envelope struct {
 	to      int
 	message Message
 	fetch   *Fetch
-	ask     *question
+	query   *query
 }
 
-type question struct {
-	ask  uint64
+type query struct {
+	id   uint64
 	from int
 }
 
-type world struct {
+type simulation struct {
 	c        *qt.C
 	rng      *rand.Rand
 	now      time.Time
 	accepted api.Revision
 	member   [members]*Log
 	all      []*process
-	bag      []envelope
+	inFlight []envelope
 	healed   bool
 }
 
-func newWorld(c *qt.C, seed uint64) *world {
-	w := &world{c: c, rng: rand.New(rand.NewPCG(seed, 5)), now: start}
+func newSimulation(c *qt.C, seed uint64) *simulation {
+	w := &simulation{c: c, rng: rand.New(rand.NewPCG(seed, 5)), now: start}
 	for i := range w.member {
 		w.member[i] = NewLog(4)
 	}
@@ -73,7 +74,7 @@
 	return w
 }
 
-func (w *world) restart(p *process) {
+func (w *simulation) restart(p *process) {
 	p.node = NewNode(w.rng.Uint64()|1, 0)
 	p.log = NewLog(4)
 	p.started = w.accepted
@@ -81,27 +82,28 @@
 	w.connect(p)
 }
 
-// connect picks a sender; an agent's is an entry, an entry's a control member.
-func (w *world) connect(p *process) {
+// connect picks a random sender: an entry instance for an agent, a control member for
+// an entry instance.
+func (w *simulation) connect(p *process) {
 	p.sender = -1 - w.rng.IntN(members)
 	if p.id >= entries {
 		p.sender = w.rng.IntN(entries)
 	}
-	w.carryOut(p, p.node.Connect(w.now))
+	w.handleReady(p, p.node.Connect(w.now))
 }
 
-func (w *world) send(e envelope) {
+func (w *simulation) send(e envelope) {
 	if !w.healed && w.rng.IntN(5) == 0 {
 		return
 	}
-	w.bag = append(w.bag, e)
+	w.inFlight = append(w.inFlight, e)
 	if !w.healed && w.rng.IntN(6) == 0 {
-		w.bag = append(w.bag, e)
+		w.inFlight = append(w.inFlight, e)
 	}
 }
 
-// carryOut does what a Ready says, in its order.
-func (w *world) carryOut(p *process, r Ready) {
+// handleReady does what a Ready lists, in its order.
+func (w *simulation) handleReady(p *process, r Ready) {
 	if r.Publish != nil {
 		w.check(p, r)
 		if d := p.log.Append(r.Publish); d != nil {
@@ -109,14 +111,14 @@
 		}
 	}
 	if r.Fetch != nil {
-		w.send(envelope{to: p.sender, fetch: r.Fetch, ask: &question{from: p.id}})
+		w.send(envelope{to: p.sender, fetch: r.Fetch, query: &query{from: p.id}})
 	}
 	if r.Ask > 0 {
-		w.send(envelope{to: p.sender, ask: &question{ask: r.Ask, from: p.id}})
+		w.send(envelope{to: p.sender, query: &query{id: r.Ask, from: p.id}})
 	}
 }
 
-func (w *world) check(p *process, r Ready) {
+func (w *simulation) check(p *process, r Ready) {
 	rev := r.Publish.Revision
 	at := qt.Commentf("process %d, revision %d", p.id, rev)
 	w.c.Assert(rev > p.served, qt.IsTrue, at)
@@ -126,7 +128,7 @@
 	p.served = rev
 }
 
-func (w *world) push(sender int, m Message) {
+func (w *simulation) push(sender int, m Message) {
 	for _, p := range w.all {
 		if p.sender == sender {
 			w.send(envelope{to: p.id, message: m})
@@ -134,8 +136,8 @@
 	}
 }
 
-// accept makes a new revision; only some members hear of it at once.
-func (w *world) accept() {
+// accept adds a new revision, which only some of the members apply at once.
+func (w *simulation) accept() {
 	if int(w.accepted) == len(docs)-1 {
 		return
 	}
@@ -147,7 +149,7 @@
 	}
 }
 
-func (w *world) catchUp(i int) {
+func (w *simulation) catchUp(i int) {
 	if w.accepted == 0 {
 		return
 	}
@@ -156,29 +158,29 @@
 	}
 }
 
-func (w *world) deliver(e envelope) {
+func (w *simulation) deliver(e envelope) {
 	switch {
 	case e.message != nil:
 		p := w.all[e.to]
-		w.carryOut(p, p.node.Step(w.now, e.message))
+		w.handleReady(p, p.node.Step(w.now, e.message))
 	case e.fetch != nil:
-		w.answer(e.to, e.ask.from, *e.fetch)
-	case e.to >= 0: // an entry hands the question on
-		w.send(envelope{to: w.all[e.to].sender, ask: e.ask})
+		w.answer(e.to, e.query.from, *e.fetch)
+	case e.to >= 0: // an entry instance forwards the query
+		w.send(envelope{to: w.all[e.to].sender, query: e.query})
 	default:
-		// The member asks a majority now, whatever it has applied itself.
-		w.send(envelope{to: e.ask.from, message: &Confirmed{Ask: e.ask.ask, Revision: w.accepted}})
+		// The member queries a majority, regardless of what it has applied itself.
+		w.send(envelope{to: e.query.from, message: &Confirmed{Ask: e.query.id, Revision: w.accepted}})
 	}
 }
 
-func (w *world) logOf(sender int) *Log {
+func (w *simulation) logOf(sender int) *Log {
 	if sender < 0 {
 		return w.member[-1-sender]
 	}
 	return w.all[sender].log
 }
 
-func (w *world) answer(sender, to int, f Fetch) {
+func (w *simulation) answer(sender, to int, f Fetch) {
 	log := w.logOf(sender)
 	deltas, all := log.Answer(f)
 	if all {
@@ -189,8 +191,8 @@
 	}
 }
 
-// corrupt turns a delta on its way into one made against another content.
-func (w *world) corrupt(e *envelope) {
+// corrupt turns one in ten deltas into one with a different base.
+func (w *simulation) corrupt(e *envelope) {
 	if ch, ok := e.message.(*Change); ok && w.rng.IntN(10) == 0 {
 		d := *ch.Delta
 		d.Base = fleetconfig.Digest{1}
@@ -198,23 +200,23 @@
 	}
 }
 
-func (w *world) step() {
+func (w *simulation) step() {
 	w.now = w.now.Add(time.Duration(w.rng.IntN(300)) * time.Millisecond)
 	switch k := w.rng.IntN(100); {
-	case k < 70 && len(w.bag) > 0:
-		i := w.rng.IntN(len(w.bag))
-		e := w.bag[i]
-		w.bag[i] = w.bag[len(w.bag)-1]
-		w.bag = w.bag[:len(w.bag)-1]
+	case k < 70 && len(w.inFlight) > 0:
+		i := w.rng.IntN(len(w.inFlight))
+		e := w.inFlight[i]
+		w.inFlight[i] = w.inFlight[len(w.inFlight)-1]
+		w.inFlight = w.inFlight[:len(w.inFlight)-1]
 		if !w.healed {
 			w.corrupt(&e)
 		}
 		w.deliver(e)
 	case k < 80:
 		p := w.all[w.rng.IntN(len(w.all))]
-		w.carryOut(p, p.node.Tick(w.now))
+		w.handleReady(p, p.node.Tick(w.now))
 	case k < 85:
-		w.beat()
+		w.announceLatest()
 	case w.healed:
 	case k < 89:
 		w.accept()
@@ -227,14 +229,14 @@
 	}
 }
 
-// beat sends the repeated note of one sender.
-func (w *world) beat() {
+// announceLatest sends the periodic Latest message of one random sender.
+func (w *simulation) announceLatest() {
 	sender := w.rng.IntN(members+entries) - members
 	l := w.logOf(sender).Latest()
 	w.push(sender, &l)
 }
 
-func (w *world) converged() bool {
+func (w *simulation) converged() bool {
 	for _, p := range w.all {
 		if p.served != w.accepted {
 			return false
@@ -247,7 +249,7 @@
 	for seed := range uint64(150) {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
 			c := qt.New(t)
-			w := newWorld(c, seed)
+			w := newSimulation(c, seed)
 			w.accept()
 			for range runSteps {
 				w.step()
--- a/core/rollout/rollout_test.go
+++ b/core/rollout/rollout_test.go
@@ -13,7 +13,7 @@
 
 var start = time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
 
-// docs are the accepted documents of the tests; docs[r] has revision r.
+// docs holds the accepted documents of the tests; docs[r] has revision r.
 var docs = makeDocs(40)
 
 func makeDocs(n int) []*fleetconfig.Document {
@@ -37,13 +37,13 @@
 	return &Latest{Revision: docs[rev].Revision, Digest: docs[rev].Digest()}
 }
 
-const ask = 101
+const queryID = 101
 
-func confirmed(rev int) *Confirmed { return &Confirmed{Ask: ask, Revision: api.Revision(rev)} }
+func confirmed(rev int) *Confirmed { return &Confirmed{Ask: queryID, Revision: api.Revision(rev)} }
 
-// A node is sent what a lossy, duplicating and reordering way makes of the
-// changes, across its own restart. In each case the events tell what it made
-// of each message, and what it serves at the end.
+// A freshly started node receives changes over a link that loses, duplicates and
+// reorders messages. Each case lists the event for each message and the revision
+// served at the end.
 func TestNodeFaults(t *testing.T) {
 	other := docs[5].At(3)
 	otherDelta := fleetconfig.NewDelta(docs[4].At(3), docs[6].At(4))
@@ -52,7 +52,7 @@
 		messages []Message
 		events   []Event
 		serves   int
-		fetch    bool // the last step asks for more
+		fetch    bool // the last step sends a fetch
 	}{
 		{"in order", []Message{whole(1), confirmed(1), delta(1, 2), delta(2, 3)}, []Event{EventApplied, EventConfirmed, EventApplied, EventApplied}, 3, false},
 		{"duplicate", []Message{whole(1), confirmed(1), delta(1, 2), delta(1, 2), whole(2)}, []Event{EventApplied, EventConfirmed, EventApplied, EventStale, EventStale}, 2, false},
@@ -69,15 +69,15 @@
 		{"confirmed above what it holds", []Message{whole(3), confirmed(5)}, []Event{EventApplied, EventConfirmed}, 0, true},
 		{"confirmed, then reached", []Message{whole(3), confirmed(5), delta(3, 4), delta(4, 5)}, []Event{EventApplied, EventConfirmed, EventApplied, EventApplied}, 5, false},
 		{"confirmed before anything came", []Message{confirmed(2), whole(2)}, []Event{EventConfirmed, EventApplied}, 2, false},
-		{"answer to an earlier life's question", []Message{whole(3), &Confirmed{Ask: ask - 1, Revision: 3}}, []Event{EventApplied, EventIgnored}, 0, false},
+		{"answer to a query from before a restart", []Message{whole(3), &Confirmed{Ask: queryID - 1, Revision: 3}}, []Event{EventApplied, EventIgnored}, 0, false},
 		{"delta first", []Message{delta(1, 2)}, []Event{EventGap}, 0, true},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
 			c := qt.New(t)
-			n := NewNode(ask, 0)
+			n := NewNode(queryID, 0)
 			first := n.Connect(start)
-			c.Assert(first.Ask, qt.Equals, uint64(ask))
+			c.Assert(first.Ask, qt.Equals, uint64(queryID))
 			c.Assert(first.Fetch, qt.DeepEquals, &Fetch{Whole: true})
 			now := start
 			fetch := false
@@ -85,7 +85,7 @@
 				r := n.Step(now, m)
 				c.Assert(r.Event, qt.Equals, tt.events[i], qt.Commentf("message %d", i))
 				now = now.Add(DefaultRetry)
-				r2 := n.Tick(now) // an open fetch is asked again
+				r2 := n.Tick(now) // repeats an outstanding fetch
 				fetch = r.Fetch != nil || r2.Fetch != nil
 			}
 			c.Assert(fetch, qt.Equals, tt.fetch)
@@ -99,11 +99,11 @@
 	}
 }
 
-// After a wrong digest only a whole document helps, and one fetch is open at a
-// time however many deltas come behind the gap.
+// After a digest mismatch the node must request a whole document, and it must have
+// only one fetch outstanding however many deltas arrive behind the gap.
 func TestNodeFetchesOnceAndWholeAfterWrongDigest(t *testing.T) {
 	c := qt.New(t)
-	n := NewNode(ask, 0)
+	n := NewNode(queryID, 0)
 	n.Connect(start)
 	n.Step(start, whole(3))
 	bad := &Change{fleetconfig.NewDelta(docs[4].At(3), docs[6].At(4))}
@@ -147,8 +147,8 @@
 	}
 }
 
-// An instance dies without a word: it holds its site's revision back until its
-// lease has run out, and no longer.
+// An instance that dies silently holds back the lowest revision of its site until its
+// lease has expired, and no longer.
 func TestViewShowsTheOldestLiveInstance(t *testing.T) {
 	c := qt.New(t)
 	v := NewView(10 * time.Second)
@@ -156,7 +156,7 @@
 	v.Report(start, Report{"e2", "lhr", 5})
 	v.Report(start, Report{"e3", "casa", 5})
 	v.Report(start, Report{"e4", "casa", 0})
-	c.Assert(v.Sites(start), qt.DeepEquals, []InForce{
+	c.Assert(v.Sites(start), qt.DeepEquals, []SiteStatus{
 		{Site: "casa", Instances: 2, Waiting: 1, Lowest: 0, Highest: 5},
 		{Site: "lhr", Instances: 2, Lowest: 3, Highest: 5},
 	})
@@ -165,5 +165,5 @@
 	c.Assert(v.Lowest(start), qt.Equals, api.Revision(3))
 	later := start.Add(11 * time.Second)
 	v.Report(later, Report{"e2", "lhr", 6})
-	c.Assert(v.Sites(later), qt.DeepEquals, []InForce{{Site: "lhr", Instances: 1, Lowest: 6, Highest: 6}})
+	c.Assert(v.Sites(later), qt.DeepEquals, []SiteStatus{{Site: "lhr", Instances: 1, Lowest: 6, Highest: 6}})
 }
--- a/core/rollout/view.go
+++ b/core/rollout/view.go
@@ -8,17 +8,18 @@
 	"almondseam.dev/core/api"
 )
 
-// Report tells what one instance has in force. Revision zero means that it
-// serves nothing yet.
+// Report is the revision that one instance has in force, zero if it serves nothing
+// yet.
 type Report struct {
 	Instance api.InstanceID
 	Site     api.Site
 	Revision api.Revision
 }
 
-// InForce is what is known of one site: each live instance serves at least
-// Lowest and at most Highest. Waiting instances serve nothing yet.
-type InForce struct {
+// SiteStatus summarizes the reports of one site. Each live instance last reported a
+// revision between Lowest and Highest. Waiting is the number of instances that serve
+// nothing yet.
+type SiteStatus struct {
 	Site      api.Site
 	Instances int
 	Waiting   int
@@ -26,56 +27,57 @@
 	Highest   api.Revision
 }
 
-// View gathers reports. An instance that is silent for the lease counts as
-// gone: one that died must not hold its site's revision back for ever, and one
-// that is cut off comes back with its next report.
+// View collects reports. An instance that has sent no report for longer than the lease
+// is removed, so that a dead instance does not hold back the lowest revision of its
+// site for ever. A partitioned instance is added again with its next report.
 type View struct {
-	lease time.Duration
-	seen  map[api.InstanceID]seen
+	lease   time.Duration
+	reports map[api.InstanceID]received
 }
 
-type seen struct {
+type received struct {
 	report Report
 	at     time.Time
 }
 
-// NewView makes an empty view.
+// NewView returns an empty view.
 func NewView(lease time.Duration) *View {
-	return &View{lease: lease, seen: map[api.InstanceID]seen{}}
+	return &View{lease: lease, reports: map[api.InstanceID]received{}}
 }
 
-// Report takes a report. The last one counts, also when its revision is lower:
-// an instance that restarted serves nothing for a while, and that is the truth.
-func (v *View) Report(now time.Time, r Report) { v.seen[r.Instance] = seen{report: r, at: now} }
+// Report stores the report of an instance. It replaces the previous one even if its
+// revision is lower, because a restarted instance serves nothing for a while.
+func (v *View) Report(now time.Time, r Report) { v.reports[r.Instance] = received{report: r, at: now} }
 
-// Forget takes out an instance that said goodbye.
-func (v *View) Forget(id api.InstanceID) { delete(v.seen, id) }
+// Forget removes an instance that has announced its shutdown.
+func (v *View) Forget(id api.InstanceID) { delete(v.reports, id) }
 
-// Sites gives what is in force at each site with a live instance, by name.
-func (v *View) Sites(now time.Time) []InForce {
-	by := map[api.Site]*InForce{}
-	for id, s := range v.seen {
+// Sites returns the status of each site with a live instance, sorted by name. It
+// removes the instances whose lease has expired.
+func (v *View) Sites(now time.Time) []SiteStatus {
+	by := map[api.Site]*SiteStatus{}
+	for id, s := range v.reports {
 		if now.Sub(s.at) > v.lease {
-			delete(v.seen, id)
+			delete(v.reports, id)
 			continue
 		}
 		site, ok := by[s.report.Site]
 		if !ok {
-			site = &InForce{Site: s.report.Site}
+			site = &SiteStatus{Site: s.report.Site}
 			by[s.report.Site] = site
 		}
 		site.add(s.report.Revision)
 	}
-	out := make([]InForce, 0, len(by))
+	out := make([]SiteStatus, 0, len(by))
 	for _, site := range by {
 		out = append(out, *site)
 	}
-	slices.SortFunc(out, func(a, b InForce) int { return cmp.Compare(a.Site, b.Site) })
+	slices.SortFunc(out, func(a, b SiteStatus) int { return cmp.Compare(a.Site, b.Site) })
 	return out
 }
 
-// Lowest gives the revision that every live instance of the fleet has reached,
-// zero when there is none or one serves nothing.
+// Lowest returns the lowest revision that a live instance of the fleet serves. It is
+// zero if there is no live instance or one of them serves nothing.
 func (v *View) Lowest(now time.Time) api.Revision {
 	sites := v.Sites(now)
 	if len(sites) == 0 {
@@ -88,7 +90,7 @@
 	return low
 }
 
-func (s *InForce) add(rev api.Revision) {
+func (s *SiteStatus) add(rev api.Revision) {
 	if s.Instances == 0 {
 		s.Lowest = rev
 	}
