--- a/core/state/drain.go
+++ b/core/state/drain.go
@@ -36,9 +36,9 @@
 	return Result{}
 }
 
-// Drained returns the log index of the last change to Drains. After a restore it
+// DrainIndex returns the log index of the last change to Drains. After a restore it
 // is the index of the snapshot, which may be higher.
-func (s *State) Drained() uint64 { return s.drainIndex }
+func (s *State) DrainIndex() uint64 { return s.drainIndex }
 
 // Drains returns the drains in force, sorted by target ID.
 func (s *State) Drains() []Drain {
--- a/core/state/evacuation.go
+++ b/core/state/evacuation.go
@@ -69,8 +69,8 @@
 	return Result{}
 }
 
-// EvacuatedAt returns Evacuated().Index without building the list.
-func (s *State) EvacuatedAt() uint64 { return s.evacuationIndex }
+// EvacuationIndex returns Evacuated().Index without building the list.
+func (s *State) EvacuationIndex() uint64 { return s.evacuationIndex }
 
 // ZoneOrders returns the last order of each availability zone that has had one, sorted by
 // zone name.
--- a/core/state/limits.go
+++ b/core/state/limits.go
@@ -14,12 +14,12 @@
 	maxTargetLimits = 8192
 	// limitTTL is how long a limit is kept after it was last stated.
 	limitTTL = time.Minute
-	// LimitStatedEvery is the interval at which an entry instance states an unchanged limit
+	// LimitRestateInterval is the interval at which an entry instance states an unchanged limit
 	// again while the target keeps naming it.
-	LimitStatedEvery = limitTTL / 3
+	LimitRestateInterval = limitTTL / 3
 	// limitRefreshAfter is the time since the last statement from which an equal one extends
 	// the limit's TTL; before that it has no effect and need not enter the log.
-	limitRefreshAfter = LimitStatedEvery / 2
+	limitRefreshAfter = LimitRestateInterval / 2
 	// maxTargetName is the maximum length of a target ID in bytes.
 	maxTargetName = 128
 )
@@ -144,8 +144,8 @@
 	}
 }
 
-// LimitsAt returns TargetLimits().Index without building the list.
-func (s *State) LimitsAt() uint64 { return s.limitsIndex }
+// LimitsIndex returns TargetLimits().Index without building the list.
+func (s *State) LimitsIndex() uint64 { return s.limitsIndex }
 
 // TargetLimits returns the limits kept, sorted by target.
 func (s *State) TargetLimits() TargetLimits {
--- a/core/state/limits_fleet_test.go
+++ b/core/state/limits_fleet_test.go
@@ -147,9 +147,9 @@
 			return known
 		}
 	}
-	before := f.log.s.LimitsAt()
+	before := f.log.s.LimitsIndex()
 	r := f.log.apply(c)
-	if f.log.s.LimitsAt() != before {
+	if f.log.s.LimitsIndex() != before {
 		list := f.log.s.TargetLimits()
 		for _, e := range f.entries {
 			f.push(e, list)
@@ -254,7 +254,7 @@
 	}
 	before := e.view.Current
 	e.view = e.view.ApplyStatement(statement)
-	if before.Limit != e.view.Current.Limit || e.view.ReportDue(f.now, LimitStatedEvery) {
+	if before.Limit != e.view.Current.Limit || e.view.ReportDue(f.now, LimitRestateInterval) {
 		f.sendStatement(e, 0)
 	}
 }
--- a/core/state/limits_test.go
+++ b/core/state/limits_test.go
@@ -58,11 +58,11 @@
 			c, l := qt.New(t), newLog(t)
 			var before uint64
 			for _, step := range tt.steps {
-				before = l.s.LimitsAt()
+				before = l.s.LimitsIndex()
 				c.Assert(l.limit(step.at, step.statement).Reason, qt.Equals, api.Reason(""))
 				l.reload()
 			}
-			c.Assert(l.s.LimitsAt() != before, qt.Equals, tt.announced)
+			c.Assert(l.s.LimitsIndex() != before, qt.Equals, tt.announced)
 			var got TargetLimit
 			for _, known := range l.s.TargetLimits().List {
 				if known.Target == "t" {
--- a/node/control/evacuations.go
+++ b/node/control/evacuations.go
@@ -50,7 +50,7 @@
 	defer limit.Stop()
 	for {
 		m.mu.RLock()
-		at, changed := m.state.EvacuatedAt(), m.changed
+		at, changed := m.state.EvacuationIndex(), m.changed
 		m.mu.RUnlock()
 		if at >= index {
 			return true
--- a/node/control/member.go
+++ b/node/control/member.go
@@ -379,9 +379,9 @@
 func (m *Member) watched() watched {
 	return watched{
 		revision:  m.state.Current().Revision,
-		drained:   m.state.Drained(),
-		evacuated: m.state.EvacuatedAt(),
-		limits:    m.state.LimitsAt(),
+		drained:   m.state.DrainIndex(),
+		evacuated: m.state.EvacuationIndex(),
+		limits:    m.state.LimitsIndex(),
 		orders:    m.state.Orders().Version(),
 	}
 }
--- a/node/control/server.go
+++ b/node/control/server.go
@@ -271,12 +271,12 @@
 	v := watchView{
 		config:  m.state.Current(),
 		leader:  Leader{Self: st.Role == consensus.RoleLeader, Addr: addressOf(st.Membership, st.Leader), Members: addresses(st.Membership), Groupless: len(st.Membership.Voters) == 0},
-		drained: m.state.Drained(),
+		drained: m.state.DrainIndex(),
 		drains:  m.state.Drains(),
 		ready:   m.state.Orders().Ready(),
 
 		evacuated: m.state.Evacuated(),
-		limits:    m.state.LimitsAt(),
+		limits:    m.state.LimitsIndex(),
 	}
 	return v, m.changed
 }
--- a/node/relay/limit.go
+++ b/node/relay/limit.go
@@ -157,7 +157,7 @@
 	if changed {
 		r.obs.LimitChanged(req, t, before, after)
 	}
-	if changed || t.view().ReportDue(now, state.LimitStatedEvery) {
+	if changed || t.view().ReportDue(now, state.LimitRestateInterval) {
 		r.limitReports.state(t)
 	}
 }
