--- a/core/routeconf/homes_test.go
+++ b/core/routeconf/homes_test.go
@@ -13,29 +13,29 @@
 func TestServed(t *testing.T) {
 	for _, tt := range []struct {
 		name            string
-		route, customer Homes
+		route, customer AllowedRegions
 		want            []api.Region
 	}{
 		{"no list", nil, nil, []api.Region{"north", "south", ""}},
-		{"list of the route", Homes{"north"}, nil, []api.Region{"north"}},
-		{"list of the customer", nil, Homes{"south"}, []api.Region{"south"}},
-		{"both lists", Homes{"north", "south"}, Homes{"south", "east"}, []api.Region{"south"}},
-		{"disjoint lists", Homes{"north"}, Homes{"south"}, nil},
-		{"region listed twice", Homes{"north", "north"}, nil, []api.Region{"north"}},
+		{"list of the route", AllowedRegions{"north"}, nil, []api.Region{"north"}},
+		{"list of the customer", nil, AllowedRegions{"south"}, []api.Region{"south"}},
+		{"both lists", AllowedRegions{"north", "south"}, AllowedRegions{"south", "east"}, []api.Region{"south"}},
+		{"disjoint lists", AllowedRegions{"north"}, AllowedRegions{"south"}, nil},
+		{"region listed twice", AllowedRegions{"north", "north"}, nil, []api.Region{"north"}},
 	} {
 		t.Run(tt.name, func(t *testing.T) {
 			c := qt.New(t)
-			r := Route{Homes: tt.route}
+			r := Route{AllowedRegions: tt.route}
 			var got []api.Region
 			for _, region := range []api.Region{"north", "south", ""} {
-				if r.Served(&Customer{Homes: tt.customer}, region) {
+				if r.AllowsRegion(&Customer{AllowedRegions: tt.customer}, region) {
 					got = append(got, region)
 				}
 			}
 			c.Assert(got, qt.DeepEquals, tt.want)
 		})
 	}
-	qt.New(t).Assert((&Route{}).Served(nil, "north"), qt.IsTrue)
+	qt.New(t).Assert((&Route{}).AllowsRegion(nil, "north"), qt.IsTrue)
 }
 
 // Guards against accepting a region that does not exist in the fleet, which would leave the
@@ -47,9 +47,9 @@
 		table Table
 		valid bool
 	}{
-		{Table{Config: Config{Routes: []Route{{Name: "r", Homes: Homes{"north"}}}}}, true},
-		{Table{Config: Config{Routes: []Route{{Name: "r", Homes: Homes{"north", "east"}}}}}, false},
-		{Table{Config: Config{Customers: []Customer{{Name: "c", Homes: Homes{"east"}}}}}, false},
+		{Table{Config: Config{Routes: []Route{{Name: "r", AllowedRegions: AllowedRegions{"north"}}}}}, true},
+		{Table{Config: Config{Routes: []Route{{Name: "r", AllowedRegions: AllowedRegions{"north", "east"}}}}}, false},
+		{Table{Config: Config{Customers: []Customer{{Name: "c", AllowedRegions: AllowedRegions{"east"}}}}}, false},
 		{Table{}, true},
 	} {
 		err := tt.table.CheckRegions(known)
--- a/core/routeconf/routeconf.go
+++ b/core/routeconf/routeconf.go
@@ -73,9 +73,9 @@
 	// Generates marks routes of text generation, whose requests state their model,
 	// number of tokens and prompt.
 	Generates bool
-	// Homes lists the regions in which the route's requests may be served.
-	Homes Homes
-	Split []Share
+	// AllowedRegions lists the regions in which the route's requests may be served.
+	AllowedRegions AllowedRegions
+	Split          []Share
 }
 
 // Share is one service of a route with its weight among the services of the route.
@@ -100,9 +100,9 @@
 
 // Engine describes the capabilities of the model engines of a service.
 type Engine struct {
-	// Reserves is the maximum duration of a memory reservation at an engine, zero if
+	// ReservationTTL is the maximum duration of a memory reservation at an engine, zero if
 	// the engines support no reservations.
-	Reserves time.Duration
+	ReservationTTL time.Duration
 	// CacheTokens is the capacity of one engine's KV cache in tokens.
 	CacheTokens int
 	// BytesPerToken is the number of bytes transferred per token when a request's KV
@@ -135,8 +135,8 @@
 	// Rank replaces the route's rank if HasRank is set.
 	Rank    int
 	HasRank bool
-	// Homes lists the regions in which the customer's requests may be served.
-	Homes Homes
+	// AllowedRegions lists the regions in which the customer's requests may be served.
+	AllowedRegions AllowedRegions
 }
 
 // DefaultTimeout is the timeout of a route for which the operator sets none.
--- a/node/relay/evacuation_test.go
+++ b/node/relay/evacuation_test.go
@@ -118,10 +118,10 @@
 // TestNothingLeavesItsHomes guards against serving, retrying, migrating or copying a request in
 // a region that its route or customer does not allow.
 func TestNothingLeavesItsHomes(t *testing.T) {
-	north, south := routeconf.Homes{"north"}, routeconf.Homes{"south"}
+	north, south := routeconf.AllowedRegions{"north"}, routeconf.AllowedRegions{"south"}
 	for _, tt := range []struct {
 		name            string
-		route, customer routeconf.Homes
+		route, customer routeconf.AllowedRegions
 		served          []string
 	}{
 		{"no homes", nil, nil, []string{"n", "s"}},
@@ -130,12 +130,12 @@
 		{"homes without a common region", north, south, nil},
 	} {
 		t.Run(tt.name, func(t *testing.T) {
-			s := newFixture(t, routeconf.Route{Kind: routeconf.KindOnce, MaxTargets: 1, Homes: tt.route}, noCopies)
+			s := newFixture(t, routeconf.Route{Kind: routeconf.KindOnce, MaxTargets: 1, AllowedRegions: tt.route}, noCopies)
 			s.target("n", "nz", func(http.ResponseWriter, *http.Request) {})
 			s.target("s", "sz", func(http.ResponseWriter, *http.Request) {})
 			s.target("nowhere", "unknown", func(http.ResponseWriter, *http.Request) {})
 			r := New(Settings{Regions: map[api.Zone]api.Region{"nz": "north", "sz": "south"}}, Ports{Live: &s.live, Targets: s.targets, Observer: nopObserver{}})
-			req := &Request{decision: decision{Service: service, Route: &s.live.Load().Config.Routes[0], Customer: &routeconf.Customer{Homes: tt.customer}}}
+			req := &Request{decision: decision{Service: service, Route: &s.live.Load().Config.Routes[0], Customer: &routeconf.Customer{AllowedRegions: tt.customer}}}
 			usable := map[string]bool{}
 			for i, c := range r.candidates(req, s.targets.Of(service), nil, time.Now()) {
 				usable[string(s.targets.Of(service)[i].Target)] = !c.Excluded
--- a/node/relay/place.go
+++ b/node/relay/place.go
@@ -85,7 +85,7 @@
 
 // inAllowedRegion reports whether the target is in a region in which the request may be served.
 func (r *Relay) inAllowedRegion(req *Request, t *Target) bool {
-	return req.Route.Served(req.Customer, r.settings.Regions[t.Zone])
+	return req.Route.AllowsRegion(req.Customer, r.settings.Regions[t.Zone])
 }
 
 // noneInAllowedRegion reports whether the request's service has targets, all of them in regions
--- a/node/relay/room.go
+++ b/node/relay/room.go
@@ -122,7 +122,7 @@
 		return nil
 	}
 	e := r.engine(req.Service)
-	if e == nil || e.Reserves == 0 {
+	if e == nil || e.ReservationTTL == 0 {
 		return &reservedTarget{permit: p}
 	}
 	t.addRequest(req.tokens, req.Ask.PromptTokens)
@@ -132,7 +132,7 @@
 	}()
 	within, cancel := context.WithTimeout(ctx, reserveTimeout)
 	defer cancel()
-	id, err := r.engines.Reserve(within, t.Address, req.tokens, e.Reserves)
+	id, err := r.engines.Reserve(within, t.Address, req.tokens, e.ReservationTTL)
 	if err == nil {
 		return &reservedTarget{permit: p, reservation: id}
 	}
--- a/node/relay/room_test.go
+++ b/node/relay/room_test.go
@@ -36,7 +36,7 @@
 	table := *s.live.Load()
 	c := table.Config
 	e := *c.Services[0].Engine
-	e.Reserves = time.Second
+	e.ReservationTTL = time.Second
 	c.Services = []routeconf.Service{{Name: service, Engine: &e}}
 	next, err := routeconf.Compile(c)
 	s.c.Assert(err, qt.IsNil)
