--- a/core/order/gate.go
+++ b/core/order/gate.go
@@ -51,9 +51,9 @@
 	return g.running && fence == g.highest && now.Before(g.leaseEnd)
 }
 
-// Renewed extends the lease of the running order. asked is the agent's monotonic
+// RenewLease extends the lease of the running order. asked is the agent's monotonic
 // time before it requested the renewal.
-func (g *Gate) Renewed(fence api.Fence, asked time.Time, lease time.Duration) {
+func (g *Gate) RenewLease(fence api.Fence, asked time.Time, lease time.Duration) {
 	if g.running && fence == g.highest {
 		g.leaseEnd = asked.Add(lease)
 	}
--- a/core/order/order_test.go
+++ b/core/order/order_test.go
@@ -115,7 +115,7 @@
 	c.Assert(errors.Is(g.Begin(at(6, 3), start, time.Second), ErrBusy), qt.IsTrue)
 	c.Assert(g.MaySend(5, start), qt.IsTrue)
 	c.Assert(g.MaySend(5, start.Add(time.Second)), qt.IsFalse)
-	g.Renewed(5, start.Add(time.Second), time.Second)
+	g.RenewLease(5, start.Add(time.Second), time.Second)
 	c.Assert(g.MaySend(5, start.Add(time.Second)), qt.IsTrue)
 	g.End(5)
 	c.Assert(g.MaySend(5, start), qt.IsFalse)
--- a/node/agent/orders.go
+++ b/node/agent/orders.go
@@ -42,7 +42,7 @@
 	o.mu.Lock()
 	if o.last.Fence == m.Order.Fence && !o.last.Ended {
 		// The same order again is a renewal, or another entry's copy.
-		o.gate.Renewed(m.Order.Fence, a.born.Add(m.Echo), m.Lease)
+		o.gate.RenewLease(m.Order.Fence, a.born.Add(m.Echo), m.Lease)
 		o.mu.Unlock()
 		return
 	}
