--- a/core/order/table.go
+++ b/core/order/table.go
@@ -15,7 +15,7 @@
 var (
 	// ErrStale: the fence is not that of the order in flight.
 	ErrStale = errors.New("fence is not that of the order in flight")
-	// ErrBusy: another order is in flight and its lease has not expired.
+	// ErrBusy: another order is in flight, and its lease and margin have not passed.
 	ErrBusy = errors.New("another order to the target is in flight")
 	// ErrPaced: the rate of the weight store or the bound on loads is used up.
 	ErrPaced = errors.New("loads from the weight store are paced")
@@ -108,8 +108,9 @@
 // take returns it again, because the first answer may have been lost or the agent
 // asks through another entry instance. The lease then restarts, since the agent
 // counts it from whichever copy arrives.
-// Another incarnation has to wait until the lease expires, because the earlier one
-// may still be about to forward the order to a target that ignores fences.
+// Another incarnation has to wait until the lease and the margin have passed,
+// because the earlier one may still be about to forward the order to a target that
+// ignores fences.
 func (t *Table) take(now int64, c Command) (Order, error) {
 	l := t.targets[c.Target]
 	if l == nil || l.inFlight == nil && len(l.queued) == 0 {
--- a/core/rollout/property_test.go
+++ b/core/rollout/property_test.go
@@ -43,11 +43,11 @@
 	to      int
 	message Message
 	fetch   *Fetch
-	query   *query
+	ask     *query
 }
 
 type query struct {
-	id   uint64
+	ask  uint64
 	from int
 }
 
@@ -111,10 +111,10 @@
 		}
 	}
 	if r.Fetch != nil {
-		w.send(envelope{to: p.sender, fetch: r.Fetch, query: &query{from: p.id}})
+		w.send(envelope{to: p.sender, fetch: r.Fetch, ask: &query{from: p.id}})
 	}
 	if r.Ask > 0 {
-		w.send(envelope{to: p.sender, query: &query{id: r.Ask, from: p.id}})
+		w.send(envelope{to: p.sender, ask: &query{ask: r.Ask, from: p.id}})
 	}
 }
 
@@ -164,12 +164,12 @@
 		p := w.all[e.to]
 		w.handleReady(p, p.node.Step(w.now, e.message))
 	case e.fetch != nil:
-		w.answer(e.to, e.query.from, *e.fetch)
+		w.answer(e.to, e.ask.from, *e.fetch)
 	case e.to >= 0: // an entry instance forwards the query
-		w.send(envelope{to: w.all[e.to].sender, query: e.query})
+		w.send(envelope{to: w.all[e.to].sender, ask: e.ask})
 	default:
 		// The member queries a majority, regardless of what it has applied itself.
-		w.send(envelope{to: e.query.from, message: &Confirmed{Ask: e.query.id, Revision: w.accepted}})
+		w.send(envelope{to: e.ask.from, message: &Confirmed{Ask: e.ask.ask, Revision: w.accepted}})
 	}
 }
 
--- a/core/rollout/view.go
+++ b/core/rollout/view.go
@@ -31,8 +31,8 @@
 // is removed, so that a dead instance does not hold back the lowest revision of its
 // site for ever. A partitioned instance is added again with its next report.
 type View struct {
-	lease   time.Duration
-	reports map[api.InstanceID]received
+	lease    time.Duration
+	received map[api.InstanceID]received
 }
 
 type received struct {
@@ -42,23 +42,23 @@
 
 // NewView returns an empty view.
 func NewView(lease time.Duration) *View {
-	return &View{lease: lease, reports: map[api.InstanceID]received{}}
+	return &View{lease: lease, received: map[api.InstanceID]received{}}
 }
 
 // Report stores the report of an instance. It replaces the previous one even if its
 // revision is lower, because a restarted instance serves nothing for a while.
-func (v *View) Report(now time.Time, r Report) { v.reports[r.Instance] = received{report: r, at: now} }
+func (v *View) Report(now time.Time, r Report) { v.received[r.Instance] = received{report: r, at: now} }
 
 // Forget removes an instance that has announced its shutdown.
-func (v *View) Forget(id api.InstanceID) { delete(v.reports, id) }
+func (v *View) Forget(id api.InstanceID) { delete(v.received, id) }
 
 // Sites returns the status of each site with a live instance, sorted by name. It
 // removes the instances whose lease has expired.
 func (v *View) Sites(now time.Time) []SiteStatus {
 	by := map[api.Site]*SiteStatus{}
-	for id, s := range v.reports {
+	for id, s := range v.received {
 		if now.Sub(s.at) > v.lease {
-			delete(v.reports, id)
+			delete(v.received, id)
 			continue
 		}
 		site, ok := by[s.report.Site]
--- a/core/routeconf/homes_test.go
+++ b/core/routeconf/homes_test.go
@@ -19,7 +19,7 @@
 		{"no list", nil, nil, []api.Region{"north", "south", ""}},
 		{"list of the route", AllowedRegions{"north"}, nil, []api.Region{"north"}},
 		{"list of the customer", nil, AllowedRegions{"south"}, []api.Region{"south"}},
-		{"both lists", AllowedRegions{"north", "south"}, AllowedRegions{"south", "east"}, []api.Region{"south"}},
+		{"both", AllowedRegions{"north", "south"}, AllowedRegions{"south", "east"}, []api.Region{"south"}},
 		{"disjoint lists", AllowedRegions{"north"}, AllowedRegions{"south"}, nil},
 		{"region listed twice", AllowedRegions{"north", "north"}, nil, []api.Region{"north"}},
 	} {
--- a/core/state/limits_fleet_test.go
+++ b/core/state/limits_fleet_test.go
@@ -369,15 +369,15 @@
 }
 
 // check compares the arrivals from entry instances that were aware of the limit with the
-// required bound, in a window that starts at each arrival. If the limit was lowered within
-// awareDelay before the window, its higher value counts.
+// required bound, in a window that starts at each arrival. If the limit changed in the window
+// or within awareDelay before it, the highest value counts.
 func (f *fleet) check(c *qt.C) (windows int) {
 	slices.SortFunc(f.arrivals, func(a, b arrival) int { return a.at.Compare(b.at) })
 	for i := range f.arrivals {
 		from := f.arrivals[i].at
 		to := from.Add(window)
-		rate, counts := f.highestLimit(from.Add(-awareDelay), to)
-		if !counts {
+		rate, settled := f.highestLimit(from.Add(-awareDelay), to)
+		if !settled {
 			continue
 		}
 		windows++
