--- a/node/callers/generate.go
+++ b/node/callers/generate.go
@@ -137,20 +137,20 @@
 	return append(dst, e.Target...)
 }
 
-func parseEventID(s string) (entry.Place, bool) {
+func parseEventID(s string) (entry.ResumePoint, bool) {
 	head, target, ok := strings.Cut(s, "@")
 	if !ok || target == "" {
-		return entry.Place{}, false
+		return entry.ResumePoint{}, false
 	}
 	num, gen, ok := strings.Cut(head, ".")
 	if !ok || gen == "" {
-		return entry.Place{}, false
+		return entry.ResumePoint{}, false
 	}
 	off, err := strconv.ParseUint(num, 10, 64)
 	if err != nil {
-		return entry.Place{}, false
+		return entry.ResumePoint{}, false
 	}
-	return entry.Place{Target: api.TargetID(target), Generation: api.GenerationID(gen), Offset: off}, true
+	return entry.ResumePoint{Target: api.TargetID(target), Generation: api.GenerationID(gen), Offset: off}, true
 }
 
 type modelObject struct {
--- a/node/callers/pure_test.go
+++ b/node/callers/pure_test.go
@@ -124,7 +124,7 @@
 	f.Fuzz(func(t *testing.T, in string) {
 		p, ok := parseEventID(in)
 		if !ok {
-			qt.Assert(t, p, qt.Equals, entry.Place{})
+			qt.Assert(t, p, qt.Equals, entry.ResumePoint{})
 			return
 		}
 		qt.Assert(t, p.Generation != "" && p.Target != "", qt.IsTrue)
--- a/node/callers/server.go
+++ b/node/callers/server.go
@@ -33,7 +33,7 @@
 // several goroutines.
 type Dispatcher interface {
 	Start(ctx context.Context, r *entry.Request) *entry.Answer
-	Resume(ctx context.Context, r *entry.Request, from entry.Place) (*entry.Answer, error)
+	Resume(ctx context.Context, r *entry.Request, from entry.ResumePoint) (*entry.Answer, error)
 }
 
 // Limiter grants a customer a request. It is called from several goroutines. It
--- a/node/callers/server_test.go
+++ b/node/callers/server_test.go
@@ -36,7 +36,7 @@
 
 // fakeAgent answers offers as its test says, on a goroutine of its own.
 type fakeAgent struct {
-	at      *entry.Attached
+	at      *entry.AgentLink
 	in      chan wire.Message
 	cancels chan *wire.Cancel
 	held    wire.Key // what it accepted last
@@ -147,7 +147,7 @@
 // newFrontKeeping is newFront with a keep-alive interval.
 func newFrontKeeping(t *testing.T, keep string, cfg Config, claimer Claimer, do func(a *fakeAgent, o *wire.Offer)) *front {
 	c := qt.New(t)
-	e := entry.New(entry.Config{}, entry.NewTablePlacer(routing.Options{Ask: 8, Local: 16, Foreign: 16}), entry.Attempts{Most: 2}, nil)
+	e := entry.New(entry.Config{}, entry.NewTablePlacer(routing.Options{Ask: 8, Local: 16, Foreign: 16}), entry.Attempts{Max: 2}, nil)
 	f := &front{c: c, limiter: &fakeLimiter{}}
 	var agents []*fakeAgent
 	var work sync.WaitGroup
--- a/node/entry/entry.go
+++ b/node/entry/entry.go
@@ -124,19 +124,19 @@
 	return a
 }
 
-// Attached is what the link layer calls for one agent's link: Handle for each
+// AgentLink is what the link layer calls for one agent's link: Handle for each
 // message, in order, on one goroutine, then Closed.
-type Attached struct {
+type AgentLink struct {
 	e    *Entry
 	to   sender
 	self *peer
 }
 
 // Attach makes a link known; its agent is not used before it has announced.
-func (e *Entry) Attach(to sender) *Attached { return &Attached{e: e, to: to} }
+func (e *Entry) Attach(to sender) *AgentLink { return &AgentLink{e: e, to: to} }
 
 // Closed forgets the link. Requests on it wait for the agent to come back.
-func (t *Attached) Closed() {
+func (t *AgentLink) Closed() {
 	if t.self == nil {
 		return
 	}
@@ -148,7 +148,7 @@
 }
 
 // Handle takes one message.
-func (t *Attached) Handle(m wire.Message) {
+func (t *AgentLink) Handle(m wire.Message) {
 	switch m := m.(type) {
 	case *wire.Announce:
 		t.onAnnounce(m)
@@ -186,7 +186,7 @@
 // onAccepted sets the phase here, in the order of the link, and not where the
 // driver hears of it: "started" may be right behind, and a caller must not be
 // told "queued" after it.
-func (t *Attached) onAccepted(m *wire.Accepted) {
+func (t *AgentLink) onAccepted(m *wire.Accepted) {
 	g := t.e.leg(m.Key)
 	if g == nil {
 		return
@@ -214,14 +214,14 @@
 	}
 }
 
-func (t *Attached) target() api.TargetID {
+func (t *AgentLink) target() api.TargetID {
 	if t.self == nil {
 		return ""
 	}
 	return t.self.target
 }
 
-func (t *Attached) onAnnounce(m *wire.Announce) {
+func (t *AgentLink) onAnnounce(m *wire.Announce) {
 	fresh := t.self == nil || t.self.inc != m.Incarnation || t.self.target != m.Target
 	if fresh {
 		t.self = &peer{target: m.Target, inc: m.Incarnation, to: t.to, zone: m.Zone, links: m.Links}
@@ -249,7 +249,7 @@
 	}
 }
 
-func (t *Attached) onLoad(m *wire.Load) {
+func (t *AgentLink) onLoad(m *wire.Load) {
 	if t.self == nil {
 		return
 	}
--- a/node/entry/entry_test.go
+++ b/node/entry/entry_test.go
@@ -259,7 +259,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		b := newBench(t)
 		a := b.agent("t1", 1)
-		place := Place{Target: "t1", Generation: "g-t1", Offset: 1}
+		place := ResumePoint{Target: "t1", Generation: "g-t1", Offset: 1}
 		request := func(c api.CustomerID) *Request { return &Request{ID: "r1", Size: wire.Size{Customer: c}} }
 		o := &wire.Offer{Key: wire.Key{Request: "r1", Attempt: 2}}
 
--- a/node/entry/fake_test.go
+++ b/node/entry/fake_test.go
@@ -43,7 +43,7 @@
 	c    *qt.C
 	id   api.TargetID
 	link *fakeLink
-	at   *Attached
+	at   *AgentLink
 }
 
 func (b *bench) agent(id api.TargetID, inc api.Incarnation) *fakeAgent {
@@ -146,7 +146,7 @@
 
 func newBench(t *testing.T) *bench {
 	d := &drops{n: make(map[string]int)}
-	return &bench{c: qt.New(t), drops: d, entry: New(Config{}, newTestPlacer(), Attempts{Most: 3}, d)}
+	return &bench{c: qt.New(t), drops: d, entry: New(Config{}, newTestPlacer(), Attempts{Max: 3}, d)}
 }
 
 // testPlacer asks every target in the order of its name, without chance.
--- a/node/entry/orders.go
+++ b/node/entry/orders.go
@@ -83,7 +83,7 @@
 
 // onOrderState passes on how an order stands. A renewal goes back to the agent
 // with the clock reading from before it was asked for.
-func (t *Attached) onOrderState(m *wire.OrderState) {
+func (t *AgentLink) onOrderState(m *wire.OrderState) {
 	p, e := t.self, t.e
 	if p == nil || e.orderer == nil {
 		return
--- a/node/entry/resume.go
+++ b/node/entry/resume.go
@@ -9,8 +9,8 @@
 	"almondseam.dev/node/wire"
 )
 
-// Place is where a caller that comes back had got to.
-type Place struct {
+// ResumePoint is where a caller that comes back had got to.
+type ResumePoint struct {
 	Target     api.TargetID
 	Generation api.GenerationID
 	Offset     uint64
@@ -19,7 +19,7 @@
 // Resume attaches a returning caller to the generation it had begun to receive,
 // through whichever entry it comes. The agent checks that the customer is the
 // one that made the request.
-func (e *Entry) Resume(ctx context.Context, r *Request, from Place) (*Answer, error) {
+func (e *Entry) Resume(ctx context.Context, r *Request, from ResumePoint) (*Answer, error) {
 	p := e.peers.get(from.Target)
 	if p == nil {
 		return nil, &api.Error{Step: api.StepRoute, Peer: string(from.Target), Outcome: api.OutcomeUnknown, Reason: api.ReasonTargetGone, Err: errors.New("the target that holds the answer is not linked here")}
