--- a/node/entry/answer.go
+++ b/node/entry/answer.go
@@ -10,30 +10,31 @@
 	"almondseam.dev/node/wire"
 )
 
-// EventKind tells what an Event carries.
+// EventKind is the kind of an Event.
 type EventKind uint8
 
 const (
-	// EventIdle: nothing happened within the wait.
+	// EventIdle: no event occurred within the wait.
 	EventIdle EventKind = iota
-	// EventPhase: the request was queued, started or stalled.
+	// EventPhase: the phase or the queue position of the request changed.
 	EventPhase
-	// EventHead: status and headers of a plain call.
+	// EventHead: the status and headers of a plain call have arrived.
 	EventHead
-	// EventItems: new items.
+	// EventItems: new items have arrived.
 	EventItems
 	// EventEnd: the request has ended; no event follows.
 	EventEnd
 )
 
-// Event is the next thing a caller is told.
+// Event is what a caller is told next.
 type Event struct {
 	Kind     EventKind
 	Phase    wire.Phase
 	Position int
 	Head     *wire.Head
-	// Packed holds N items (see core/stream), the first at Offset, all of
-	// Generation on Target. It is valid until the following Next.
+	// Packed holds N items (see core/stream), the first of them at Offset. All
+	// belong to Generation on Target. Packed is valid until the following call of
+	// Next.
 	Packed     []byte
 	N          int
 	Offset     uint64
@@ -42,36 +43,36 @@
 	End        End
 }
 
-// Answer is the caller's end of a request in progress. Next is called from one
-// goroutine; everything else may be called from any.
+// Answer is the caller's side of a request in progress. Next must be called from
+// one goroutine at a time; all other methods are safe for concurrent use.
 type Answer struct {
 	wake  chan struct{}
-	timer *time.Timer // used by Next alone
+	timer *time.Timer // used by Next only
 
-	mu      sync.Mutex
-	recv    *stream.Receiver
-	from    api.TargetID
-	pending []byte
-	spare   []byte
-	n       int
-	off     uint64
-	head    *wire.Head
-	headed  bool // a head has arrived; it is told once
-	phase   wire.Phase
-	pos     int
-	moved   bool // phase changed since it was last told
-	end     *End
-	owed    int                     // bytes handed out and not acknowledged
-	taken   uint64                  // items handed out by Next
-	acked   uint64                  // items acknowledged to the agent
-	ack     func(off uint64)        // set while a leg is attached
-	cancel  context.CancelCauseFunc // ends the driver
+	mu           sync.Mutex
+	recv         *stream.Receiver
+	source       api.TargetID // target that sent the latest items; empty before the first
+	pending      []byte       // items received and not yet returned by Next
+	handedOut    []byte       // buffer that Next last returned, reused for pending at the next swap
+	count        int          // number of items in pending
+	offset       uint64       // offset of the first item in pending
+	head         *wire.Head   // head that Next has not returned yet
+	headReceived bool         // a head has arrived; later ones are ignored
+	phase        wire.Phase
+	position     int
+	phaseChanged bool // phase or position changed since Next last returned them
+	end          *End
+	unackedBytes int                     // bytes returned by Next since the last acknowledgement
+	delivered    uint64                  // offset after the last item returned by Next
+	acked        uint64                  // offset last acknowledged to the agent
+	ack          func(offset uint64)     // sends an acknowledgement; nil while no dispatch is followed
+	cancel       context.CancelCauseFunc // cancels the goroutine that drives the request
 }
 
-// ackEvery is the number of bytes handed out between acknowledgements. It is a
-// fraction of the agent's bound, so that the agent never waits for an
-// acknowledgement from a caller that keeps up.
-const ackEvery = 4 << 10
+// ackBytes is the number of bytes returned by Next after which an acknowledgement
+// is due. It is a fraction of the agent's limit on unacknowledged bytes, so that
+// the agent never has to wait for an acknowledgement while the caller keeps up.
+const ackBytes = 4 << 10
 
 func newAnswer() *Answer {
 	return &Answer{wake: make(chan struct{}, 1), recv: stream.NewReceiver()}
@@ -84,19 +85,19 @@
 	}
 }
 
-// Next gives the next event, or EventIdle after wait. Asking for the next event
-// tells that the caller was given the last one.
+// Next returns the next event, or EventIdle if none occurs within wait. By calling
+// Next, the caller confirms that it has passed on the previous event.
 func (a *Answer) Next(wait time.Duration) Event {
 	a.acknowledge()
-	if e, ok := a.take(); ok {
+	if e, ok := a.takeEvent(); ok {
 		return e
 	}
-	a.arm(wait)
+	a.resetTimer(wait)
 	defer a.timer.Stop()
 	for {
 		select {
 		case <-a.wake:
-			if e, ok := a.take(); ok {
+			if e, ok := a.takeEvent(); ok {
 				return e
 			}
 		case <-a.timer.C:
@@ -105,9 +106,9 @@
 	}
 }
 
-// arm sets the one timer of the answer: a new one for each token was a seventh
-// of an entry's work.
-func (a *Answer) arm(wait time.Duration) {
+// resetTimer starts the timer that all calls of Next share. A new timer for each
+// token accounted for a seventh of an entry's work.
+func (a *Answer) resetTimer(wait time.Duration) {
 	if a.timer == nil {
 		a.timer = time.NewTimer(wait)
 		return
@@ -115,60 +116,64 @@
 	a.timer.Reset(wait)
 }
 
-// Phase is the request's present state.
+// Phase returns the current phase of the request.
 func (a *Answer) Phase() wire.Phase {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	return a.phase
 }
 
-// take gives what is there: head before items, items before the end.
-func (a *Answer) take() (Event, bool) {
+// takeEvent removes and returns the next event, in this order of precedence: phase,
+// head, items, end. It returns false if there is none.
+func (a *Answer) takeEvent() (Event, bool) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	switch {
-	case a.moved:
-		a.moved = false
-		return Event{Kind: EventPhase, Phase: a.phase, Position: a.pos}, true
+	case a.phaseChanged:
+		a.phaseChanged = false
+		return Event{Kind: EventPhase, Phase: a.phase, Position: a.position}, true
 	case a.head != nil:
 		h := a.head
 		a.head = nil
-		return Event{Kind: EventHead, Head: h, Target: a.from}, true
-	case a.n > 0:
+		return Event{Kind: EventHead, Head: h, Target: a.source}, true
+	case a.count > 0:
 		return a.takeItems(), true
 	case a.end != nil:
-		return Event{Kind: EventEnd, End: *a.end, Target: a.from}, true
+		return Event{Kind: EventEnd, End: *a.end, Target: a.source}, true
 	}
 	return Event{}, false
 }
 
+// takeItems returns all pending items as one event. It swaps the two buffers, so
+// that the returned items stay valid while new ones are appended.
 func (a *Answer) takeItems() Event {
 	e := Event{
 		Kind:       EventItems,
 		Packed:     a.pending,
-		N:          a.n,
-		Offset:     a.off,
+		N:          a.count,
+		Offset:     a.offset,
 		Generation: a.recv.Generation(),
-		Target:     a.from,
+		Target:     a.source,
 	}
-	a.pending, a.spare = a.spare[:0], a.pending
-	a.off += uint64(a.n)
-	a.taken = a.off
-	a.owed += len(e.Packed)
-	a.n = 0
+	a.pending, a.handedOut = a.handedOut[:0], a.pending
+	a.offset += uint64(a.count)
+	a.delivered = a.offset
+	a.unackedBytes += len(e.Packed)
+	a.count = 0
 	return e
 }
 
-// acknowledge grants the agent credit for what was handed out. It waits for
-// ackEvery bytes so that a token does not cost a frame in each direction.
+// acknowledge grants the agent credit for what Next has returned. It waits for
+// ackBytes bytes or ackItems items, so that a token does not cost a frame in each
+// direction.
 func (a *Answer) acknowledge() {
 	a.mu.Lock()
 	ack := a.ack
-	off := a.taken
-	due := ack != nil && off > a.acked && (off-a.acked >= ackItems || a.owed >= ackEvery)
+	off := a.delivered
+	due := ack != nil && off > a.acked && (off-a.acked >= ackItems || a.unackedBytes >= ackBytes)
 	if due {
 		a.acked = off
-		a.owed = 0
+		a.unackedBytes = 0
 	}
 	a.mu.Unlock()
 	if due {
@@ -176,25 +181,26 @@
 	}
 }
 
-// ackItems bounds the items between acknowledgements.
+// ackItems is the number of items returned by Next after which an acknowledgement
+// is due.
 const ackItems = 256
 
-// Cancel tells that the caller has gone. The work is cancelled at once, or
-// after hold when the caller asked to be able to come back.
+// Cancel reports that the caller has gone. The work at the agent is cancelled at
+// once, or after hold if the caller asked to be able to come back.
 func (a *Answer) Cancel(hold time.Duration) {
 	if hold > 0 {
-		a.cancel(callerHeld{hold})
+		a.cancel(callerDetached{hold})
 		return
 	}
 	a.cancel(errCallerGone)
 }
 
-func (a *Answer) setPhase(p wire.Phase, pos int) {
+func (a *Answer) setPhase(p wire.Phase, position int) {
 	a.mu.Lock()
-	changed := a.phase != p || a.pos != pos
+	changed := a.phase != p || a.position != position
 	a.phase = p
-	a.pos = pos
-	a.moved = a.moved || changed
+	a.position = position
+	a.phaseChanged = a.phaseChanged || changed
 	a.mu.Unlock()
 	if changed {
 		a.signal()
@@ -203,22 +209,22 @@
 
 func (a *Answer) setHead(h *wire.Head) {
 	a.mu.Lock()
-	if !a.headed {
+	if !a.headReceived {
 		a.head = h
-		a.headed = true
+		a.headReceived = true
 	}
 	a.mu.Unlock()
 	a.signal()
 }
 
-// accept takes a run of items from target. It gives the receiver's verdict.
+// accept adds a run of items from target and returns the receiver's verdict.
 func (a *Answer) accept(target api.TargetID, m *wire.Data) (stream.Verdict, error) {
 	a.mu.Lock()
-	fresh, n, v, err := a.recv.Accept(m.Generation, m.Offset, m.N, m.Packed)
+	fresh, count, v, err := a.recv.Accept(m.Generation, m.Offset, m.N, m.Packed)
 	if err == nil && v == stream.Fresh {
 		a.pending = append(a.pending, fresh...)
-		a.n += n
-		a.from = target
+		a.count += count
+		a.source = target
 	}
 	a.mu.Unlock()
 	if err == nil && v == stream.Fresh {
@@ -227,25 +233,27 @@
 	return v, err
 }
 
-// complete compares a final frame with what was received.
+// complete compares a final frame with what was received. missing is set if items
+// have not arrived yet; an error means that the answer is not intact.
 func (a *Answer) complete(m *wire.Final) (missing bool, err error) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	return a.recv.Complete(m.Generation, m.Count, m.Sum)
 }
 
-// received is the offset expected next, and the generation if it is fixed.
-func (a *Answer) received() (uint64, api.GenerationID) {
+// nextOffset returns the offset of the item expected next, and the generation,
+// which is empty before the first item.
+func (a *Answer) nextOffset() (uint64, api.GenerationID) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	return a.recv.Next(), a.recv.Generation()
 }
 
-// started tells whether the caller may have been given any part of the answer.
+// started reports whether the caller may have received any part of the answer.
 func (a *Answer) started() bool {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	return a.recv.Next() > 0 || a.headed
+	return a.recv.Next() > 0 || a.headReceived
 }
 
 func (a *Answer) finish(e End) {
--- a/node/entry/bids.go
+++ b/node/entry/bids.go
@@ -10,65 +10,68 @@
 	"almondseam.dev/node/wire"
 )
 
-// bids matches agents' bids to the requests that wait for them.
+// bids delivers the agents' bids to the requests that wait for them.
 type bids struct {
-	mu   sync.Mutex
-	wait map[wire.Key]chan placedBid
+	mu      sync.Mutex
+	waiting map[wire.Key]chan receivedBid
 }
 
-type placedBid struct {
+// receivedBid is a bid and the target that sent it.
+type receivedBid struct {
 	from api.TargetID
 	bid  *wire.Bid
 }
 
-func newBids() *bids { return &bids{wait: make(map[wire.Key]chan placedBid)} }
+func newBids() *bids { return &bids{waiting: make(map[wire.Key]chan receivedBid)} }
 
-func (b *bids) open(k wire.Key, n int) <-chan placedBid {
-	ch := make(chan placedBid, n)
+// register returns the channel for the bids on key k, with room for n bids.
+func (b *bids) register(k wire.Key, n int) <-chan receivedBid {
+	ch := make(chan receivedBid, n)
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	b.wait[k] = ch
+	b.waiting[k] = ch
 	return ch
 }
 
-func (b *bids) close(k wire.Key) {
+func (b *bids) unregister(k wire.Key) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	delete(b.wait, k)
+	delete(b.waiting, k)
 }
 
-// answer passes a bid on. One that comes after its time is dropped.
+// answer delivers a bid to the request that waits for it. A bid that nothing waits
+// for any more is dropped.
 func (b *bids) answer(from api.TargetID, m *wire.Bid) {
 	b.mu.Lock()
-	ch := b.wait[m.Key]
+	ch := b.waiting[m.Key]
 	b.mu.Unlock()
 	if ch == nil {
 		return
 	}
 	select {
-	case ch <- placedBid{from, m}:
-	default: // a repeated answer
+	case ch <- receivedBid{from, m}:
+	default: // the agent sent the bid more than once
 	}
 }
 
-// collect asks the peers for bids and waits until all have answered or ctx is
-// done. Whoever stays silent gives none.
-func (b *bids) collect(ctx context.Context, k wire.Key, size wire.Size, ask []asked) []routing.Bid {
-	ch := b.open(k, len(ask))
-	defer b.close(k)
+// collect asks the candidates for bids and waits until all have answered or ctx is
+// done. It returns the bids received by then.
+func (b *bids) collect(ctx context.Context, k wire.Key, size wire.Size, candidates []linkedCandidate) []routing.Bid {
+	ch := b.register(k, len(candidates))
+	defer b.unregister(k)
 	sent := 0
-	for _, p := range ask {
-		if p.peer.to.Send(&wire.BidRequest{Key: k, Size: size}) == nil {
+	for _, c := range candidates {
+		if c.peer.link.Send(&wire.BidRequest{Key: k, Size: size}) == nil {
 			sent++
 		}
 	}
 	out := make([]routing.Bid, 0, sent)
 	for range sent {
 		select {
-		case pb := <-ch:
+		case rb := <-ch:
 			out = append(out, routing.Bid{
-				From: candidate(ask, pb.from),
-				Bid:  admission.Bid{Wait: pb.bid.Wait, Cached: pb.bid.Cached, Refuse: pb.bid.Refuse, RetryAfter: pb.bid.RetryAfter},
+				From: candidateOf(candidates, rb.from),
+				Bid:  admission.Bid{Wait: rb.bid.Wait, Cached: rb.bid.Cached, Refuse: rb.bid.Refuse, RetryAfter: rb.bid.RetryAfter},
 			})
 		case <-ctx.Done():
 			return out
@@ -77,16 +80,17 @@
 	return out
 }
 
-// asked is a candidate with the link on which it is asked.
-type asked struct {
+// linkedCandidate is a candidate and the link to its agent.
+type linkedCandidate struct {
 	cand routing.Candidate
 	peer *peer
 }
 
-func candidate(ask []asked, id api.TargetID) routing.Candidate {
-	for _, a := range ask {
-		if a.cand.ID == id {
-			return a.cand
+// candidateOf returns the candidate with the given ID, or the zero Candidate.
+func candidateOf(candidates []linkedCandidate, id api.TargetID) routing.Candidate {
+	for _, c := range candidates {
+		if c.cand.ID == id {
+			return c.cand
 		}
 	}
 	return routing.Candidate{}
--- a/node/entry/choice.go
+++ b/node/entry/choice.go
@@ -7,17 +7,17 @@
 	"almondseam.dev/node/wire"
 )
 
-// fleetEntries is the list of the fleet's entries, as membership and as the wire
-// know them.
+// fleetEntries lists the entries of the fleet, in the types of membership and of
+// the wire protocol.
 type fleetEntries struct {
 	all  []membership.Entry
 	info map[membership.Entry]wire.EntryInfo
 }
 
-// SetEntries takes the list of the fleet's entries. Each linked agent is told the
-// few that it is to link to, and only when that choice has changed: the whole
-// list of a large fleet, sent to every agent whenever an entry restarts, would
-// alone take a fifth of an entry's 5 KB a second.
+// SetEntries sets the list of the fleet's entries. Each linked agent is sent only
+// the few entries that it should link to, and only when this subset has changed.
+// Sending the whole list of a large fleet to every agent whenever an entry restarts
+// would alone take a fifth of an entry's budget of 5 KB per second.
 func (e *Entry) SetEntries(list []wire.EntryInfo) {
 	f := &fleetEntries{info: make(map[membership.Entry]wire.EntryInfo, len(list))}
 	for _, i := range list {
@@ -25,30 +25,31 @@
 		f.all = append(f.all, m)
 		f.info[m] = i
 	}
-	e.fleet.Store(f)
+	e.entries.Store(f)
 	for _, p := range e.peers.all() {
-		e.tellEntries(p)
+		e.sendEntries(p)
 	}
 }
 
-// tellEntries tells an agent its choice if it is another than it was told. Every
-// entry works out the same choice for it, since all hash the same names.
-func (e *Entry) tellEntries(p *peer) {
-	f := e.fleet.Load()
+// sendEntries sends an agent the subset of entries that it should link to, unless
+// it is the subset last sent. Every entry computes the same subset for an agent,
+// because all of them hash the same names.
+func (e *Entry) sendEntries(p *peer) {
+	f := e.entries.Load()
 	if f == nil || len(f.all) == 0 {
 		return
 	}
-	want := p.links
-	if want <= 0 {
-		want = len(f.all)
+	count := p.links
+	if count <= 0 {
+		count = len(f.all)
 	}
 	var list []wire.EntryInfo
-	for _, m := range membership.Subset(p.target, p.zone, f.all, want) {
+	for _, m := range membership.Subset(p.target, p.zone, f.all, count) {
 		list = append(list, f.info[m])
 	}
-	if told := p.told.Load(); told != nil && slices.Equal(*told, list) {
+	if sentEntries := p.sentEntries.Load(); sentEntries != nil && slices.Equal(*sentEntries, list) {
 		return
 	}
-	p.told.Store(&list)
-	_ = p.to.Send(&wire.Entries{List: list})
+	p.sentEntries.Store(&list)
+	_ = p.link.Send(&wire.Entries{List: list})
 }
--- a/node/entry/choice_test.go
+++ b/node/entry/choice_test.go
@@ -9,6 +9,7 @@
 	qt "github.com/frankban/quicktest"
 )
 
+// entryList returns n entries in 9 availability zones.
 func entryList(n int) []wire.EntryInfo {
 	var out []wire.EntryInfo
 	for i := range n {
@@ -17,29 +18,31 @@
 	return out
 }
 
-// One of 311 entries is replaced. Of 190 linked agents only those that link to
-// it are told, a handful; all others have the list that they already hold.
+// Guards against sending the list of entries to agents whose subset has not
+// changed. When one of 311 entries is replaced, a list goes to fewer than 30 of 190
+// linked agents, those whose subset of 8 entries changes, and to no agent when the
+// list stays the same.
 func TestOnlyAgentsWhoseChoiceChangesAreTold(t *testing.T) {
-	b := newBench(t)
+	h := newHarness(t)
 	var agents []*fakeAgent
 	for i := range 190 {
 		l := newFakeLink()
-		a := &fakeAgent{c: b.c, id: api.TargetID(fmt.Sprint("t", i)), link: l, at: b.entry.Attach(l)}
-		a.say(&wire.Announce{Target: a.id, Incarnation: 1, Zone: "1", Links: 8})
+		a := &fakeAgent{c: h.c, id: api.TargetID(fmt.Sprint("t", i)), link: l, entryEnd: h.entry.Attach(l)}
+		a.send(&wire.Announce{Target: a.id, Incarnation: 1, Zone: "1", Links: 8})
 		agents = append(agents, a)
 	}
 	list := entryList(311)
-	b.entry.SetEntries(list)
+	h.entry.SetEntries(list)
 	for _, a := range agents {
-		b.c.Assert((<-a.link.sent).(*wire.Entries).List, qt.HasLen, 8)
+		h.c.Assert((<-a.link.sent).(*wire.Entries).List, qt.HasLen, 8)
 	}
-	b.entry.SetEntries(list)
+	h.entry.SetEntries(list)
 	list[17].Instance = "replaced"
-	b.entry.SetEntries(list)
-	told := 0
+	h.entry.SetEntries(list)
+	notified := 0
 	for _, a := range agents {
-		told += len(a.link.sent)
+		notified += len(a.link.sent)
 	}
-	b.c.Assert(told > 0 && told < 30, qt.IsTrue, qt.Commentf("%d of 190 were told", told))
-	t.Logf("%d of 190 agents were told of one replaced entry", told)
+	h.c.Assert(notified > 0 && notified < 30, qt.IsTrue, qt.Commentf("%d of 190 were told", notified))
+	t.Logf("%d of 190 agents were told of one replaced entry", notified)
 }
--- a/node/entry/dispatch.go
+++ b/node/entry/dispatch.go
@@ -12,7 +12,7 @@
 	"almondseam.dev/node/wire"
 )
 
-// drive makes attempts until one completes or none may follow.
+// drive makes attempts until one completes or no other may follow.
 func (e *Entry) drive(ctx context.Context, a *Answer, r *Request) End {
 	e.retrier.First(r.Size.Customer, r.Arrived)
 	var last *api.Error
@@ -26,26 +26,28 @@
 			return AsEnd(failed)
 		}
 		if ctx.Err() != nil {
-			return AsEnd(e.callerLeft(failed))
+			return AsEnd(e.asCancelled(failed))
 		}
 		if last != nil && failed.Reason == api.ReasonNoTarget {
-			// Only targets that have failed this request are left: their answer
-			// says when to come back, and that there is none would not.
+			// No target is left that has not failed this request already. The error
+			// of the previous attempt tells the caller more than no_target would,
+			// such as when a target will accept requests again.
 			return AsEnd(last)
 		}
-		movable := e.movable(a, r, failed)
-		again, after := e.retrier.Next(e.failedAttempt(r, n), failed, movable, e.cfg.Clock())
+		safeToRetry := e.safeToRetry(a, r, failed)
+		again, after := e.retrier.Next(e.failedAttempt(r, n), failed, safeToRetry, e.cfg.Clock())
 		if !again {
 			return AsEnd(failed)
 		}
 		last = failed
 		e.obs.Retried(r, failed.Reason)
 		if !sleep(ctx, after) {
-			return AsEnd(e.callerLeft(failed))
+			return AsEnd(e.asCancelled(failed))
 		}
 	}
 }
 
+// failedAttempt returns attempt n in the form that the Retrier takes.
 func (e *Entry) failedAttempt(r *Request, n api.Attempt) retry.Attempt {
 	at := retry.Attempt{Customer: r.Size.Customer, Number: n}
 	if r.Patience > 0 {
@@ -54,23 +56,26 @@
 	return at
 }
 
-// movable tells whether a further attempt can do no harm: the last one is
-// proved not to have run, or the request may be repeated and nothing of it was
-// received, so that no two generations can meet in one answer.
-func (e *Entry) movable(a *Answer, r *Request, err *api.Error) bool {
+// safeToRetry reports whether another attempt can do no harm. The caller must have
+// received nothing, so that no two generations are mixed in one answer. In
+// addition, the last attempt must be proved not to have run, or the request must be
+// repeatable.
+func (e *Entry) safeToRetry(a *Answer, r *Request, err *api.Error) bool {
 	if a.started() {
 		return false
 	}
 	return err.Outcome == api.OutcomeNotRun || r.Repeatable
 }
 
-// callerLeft keeps the proof of not_run, if there is one, for the record.
-func (e *Entry) callerLeft(err *api.Error) *api.Error {
-	left := *err
-	left.Reason = api.ReasonCancelled
-	return &left
+// asCancelled returns err with the reason cancelled. The outcome is kept, because
+// not_run is proof that the request did not run.
+func (e *Entry) asCancelled(err *api.Error) *api.Error {
+	cancelled := *err
+	cancelled.Reason = api.ReasonCancelled
+	return &cancelled
 }
 
+// sleep waits for d. It returns false if ctx is done first.
 func sleep(ctx context.Context, d time.Duration) bool {
 	if d <= 0 {
 		return ctx.Err() == nil
@@ -85,8 +90,8 @@
 	}
 }
 
-// attempt places the request once and follows it to its end. A nil error means
-// completed.
+// attempt places the request once and follows it to its end. A nil error means that
+// it completed.
 func (e *Entry) attempt(ctx context.Context, a *Answer, r *Request, n api.Attempt) error {
 	p, err := e.place(ctx, r, n)
 	if err != nil {
@@ -99,34 +104,36 @@
 	tokens := r.Size.Prompt
 	e.placer.Sent(p.target, tokens, e.cfg.Clock())
 	defer func() { e.placer.Ended(p.target, tokens, e.cfg.Clock()) }()
-	g := newLeg(r, a, n, p, e.obs)
-	g.echo = echo
-	e.legs.add(g)
-	defer e.legs.remove(g)
-	a.setAck(func(off uint64) { _ = g.link().Send(&wire.Ack{Key: g.key, Offset: off}) })
+	d := newDispatch(r, a, n, p, e.obs)
+	d.echo = echo
+	e.dispatches.add(d)
+	defer e.dispatches.remove(d)
+	a.setAck(func(off uint64) { _ = d.currentLink().Send(&wire.Ack{Key: d.key, Offset: off}) })
 	defer a.setAck(nil)
-	if err := g.to.Send(e.offer(r, g)); err != nil {
-		return e.fail(g, api.StepDispatch, api.OutcomeNotRun, api.ReasonLinkLost, err)
+	if err := d.link.Send(e.offer(r, d)); err != nil {
+		return e.newError(d, api.StepDispatch, api.OutcomeNotRun, api.ReasonLinkLost, err)
 	}
-	err = e.follow(ctx, g)
+	err = e.follow(ctx, d)
 	if err != nil {
-		e.refusedBy(r, p.target, api.AsError(err).Reason)
+		e.recordFailure(r, p.target, api.AsError(err).Reason)
 	}
 	return err
 }
 
-// refusedBy keeps a request from going back to a target that failed it, and
-// puts the target aside for all when the reason is not the request's own.
-func (e *Entry) refusedBy(r *Request, id api.TargetID, reason api.Reason) {
+// recordFailure excludes a target that failed a request from its further attempts.
+// Unless the reason is specific to the request, it also reports the failure to the
+// placer, which then avoids the target for all requests for a while.
+func (e *Entry) recordFailure(r *Request, id api.TargetID, reason api.Reason) {
 	r.Query.Avoid = append(r.Query.Avoid, id)
-	if !ownReason[reason] {
+	if !requestSpecific[reason] {
 		e.placer.Failed(id, 0, e.cfg.Clock())
 	}
 }
 
-// ownReason lists the reasons that say nothing about the target's next request:
-// what is hopeless for one deadline is in time for another.
-var ownReason = map[api.Reason]bool{
+// requestSpecific lists the reasons that say nothing about other requests to the
+// target. For example, a target that cannot meet the deadline of one request may
+// meet that of another.
+var requestSpecific = map[api.Reason]bool{
 	api.ReasonCancelled:        true,
 	api.ReasonBadRequest:       true,
 	api.ReasonNeverFits:        true,
@@ -135,14 +142,15 @@
 	api.ReasonTombstoned:       true,
 }
 
-func (e *Entry) fail(g *leg, step api.Step, o api.Outcome, reason api.Reason, err error) *api.Error {
-	return &api.Error{Step: step, Peer: string(g.target), Outcome: o, Reason: reason, Err: err}
+// newError returns an error of the target that the dispatch went to.
+func (e *Entry) newError(d *dispatch, step api.Step, o api.Outcome, reason api.Reason, err error) *api.Error {
+	return &api.Error{Step: step, Peer: string(d.target), Outcome: o, Reason: reason, Err: err}
 }
 
-func (e *Entry) offer(r *Request, g *leg) *wire.Offer {
+func (e *Entry) offer(r *Request, d *dispatch) *wire.Offer {
 	return &wire.Offer{
-		Key:         g.key,
-		Incarnation: g.inc,
+		Key:         d.key,
+		Incarnation: d.inc,
 		Size:        e.size(r),
 		Service:     r.Service,
 		Method:      r.Method,
@@ -152,99 +160,108 @@
 		Repeatable:  r.Repeatable,
 		Timeout:     r.Timeout,
 		Claimed:     r.Claimed != nil,
-		Echo:        g.echo,
+		Echo:        d.echo,
 	}
 }
 
-// claim asks for the grant of a call that must not be repeated, and gives the
-// agent's clock reading that goes with the dispatch. The reading is taken before
-// this entry looks at its own clock: a stop before it shows here, and one after
-// it at the agent (see claim.Window).
+// claim obtains the grant for a request that must not be repeated. It returns the
+// latest reading of the agent's clock, which the dispatch carries back to the
+// agent. The reading is taken before the entry checks its own clock: if the process
+// is paused for too long before the reading, the check here fails; if it is paused
+// after the reading, the agent rejects the dispatch (see claim.Window).
 func (e *Entry) claim(r *Request, p *peer, n api.Attempt) (time.Duration, error) {
 	if r.Claimed == nil {
 		return 0, nil
 	}
-	asked := e.cfg.Clock()
+	requestedAt := e.cfg.Clock()
 	if err := r.Claimed(p.target, p.inc, n); err != nil {
 		return 0, err
 	}
 	echo := time.Duration(p.clock.Load())
-	if !claim.DefaultWindow().MayDispatch(asked, e.cfg.Clock()) {
+	if !claim.DefaultWindow().MayDispatch(requestedAt, e.cfg.Clock()) {
 		return 0, api.NotRun(api.StepClaim, string(p.target), api.ReasonTimeout, errors.New("the grant came too late to be used"))
 	}
 	return echo, nil
 }
 
-// size is the request's size with its age and what is left of its patience.
+// size returns the size of the request with its current age and what is left of the
+// caller's patience.
 func (e *Entry) size(r *Request) wire.Size {
-	z := r.Size
-	z.Age = e.cfg.Clock().Sub(r.Arrived)
+	out := r.Size
+	out.Age = e.cfg.Clock().Sub(r.Arrived)
 	if r.Patience > 0 {
-		z.Patience = max(r.Patience-z.Age, time.Millisecond)
+		out.Patience = max(r.Patience-out.Age, time.Millisecond)
 	}
-	return z
+	return out
 }
 
-// place chooses the target: the best of the bids, or the only candidate there
-// is. The bids are worth their round trip because load reports are late; see
-// docs/design/routing.md.
+// place returns the target with the best bid. It uses the placer's first choice
+// without bids if there is only one candidate or the request is for a service, and
+// also if no bid arrives in time. Bids are worth a round trip because load reports
+// lag behind; see docs/design/routing.md.
 func (e *Entry) place(ctx context.Context, r *Request, n api.Attempt) (*peer, error) {
 	query := r.Query
 	query.Evacuated = e.evacuatedZones()
-	ask := e.linked(e.placer.Choose(query, e.cfg.Clock()))
-	if len(ask) == 0 {
+	candidates := e.linkedCandidates(e.placer.Choose(query, e.cfg.Clock()))
+	if len(candidates) == 0 {
 		return nil, e.noTarget(r)
 	}
-	if len(ask) == 1 || r.Service != "" {
-		return ask[0].peer, nil
+	if len(candidates) == 1 || r.Service != "" {
+		return candidates[0].peer, nil
 	}
 	ctx, cancel := context.WithTimeout(ctx, e.cfg.Bid)
 	defer cancel()
 	key := wire.Key{Request: r.ID, Attempt: n}
-	got := e.bids.collect(ctx, key, e.size(r), ask)
-	if len(got) == 0 {
-		return ask[0].peer, nil // all silent: the offer's own deadline decides
+	received := e.bids.collect(ctx, key, e.size(r), candidates)
+	if len(received) == 0 {
+		return candidates[0].peer, nil // no bids: the timeout of the offer detects an agent that does not respond
 	}
-	best := routing.BestBid(got)
+	best := routing.BestBid(received)
 	if best < 0 {
-		for _, b := range got {
-			e.refusedBy(r, b.From.ID, b.Refuse)
+		for _, b := range received {
+			e.recordFailure(r, b.From.ID, b.Refuse)
 		}
-		return nil, routing.Refusal(got)
+		return nil, routing.Refusal(received)
 	}
-	e.release(ask, got, best, key)
-	return e.chosen(ask, got[best].From.ID), nil
+	e.cancelOtherBids(candidates, received, best, key)
+	return e.peerOf(candidates, received[best].From.ID), nil
 }
 
-// release gives back the places that the other bids keep. Until their time is
-// over, requests of others would be told to wait for them.
-func (e *Entry) release(ask []asked, got []routing.Bid, best int, key wire.Key) {
-	for i := range got {
-		if i != best && got[i].Refuse == "" {
-			_ = e.chosen(ask, got[i].From.ID).to.Send(&wire.Cancel{Key: key})
+// cancelOtherBids releases the reservations behind the bids that were not chosen.
+// Until the reservations expire, the targets would make other requests wait for
+// them.
+func (e *Entry) cancelOtherBids(candidates []linkedCandidate, received []routing.Bid, best int, key wire.Key) {
+	for i := range received {
+		if i != best && received[i].Refuse == "" {
+			_ = e.peerOf(candidates, received[i].From.ID).link.Send(&wire.Cancel{Key: key})
 		}
 	}
 }
 
-func (e *Entry) chosen(ask []asked, id api.TargetID) *peer {
-	for _, a := range ask {
-		if a.cand.ID == id {
-			return a.peer
+// peerOf returns the peer of the candidate with the given ID, or of the first
+// candidate if there is none with that ID.
+func (e *Entry) peerOf(candidates []linkedCandidate, id api.TargetID) *peer {
+	for _, c := range candidates {
+		if c.cand.ID == id {
+			return c.peer
 		}
 	}
-	return ask[0].peer
+	return candidates[0].peer
 }
 
-func (e *Entry) linked(cands []routing.Candidate) []asked {
-	out := make([]asked, 0, len(cands))
+// linkedCandidates returns the candidates whose agents are linked, with their
+// links.
+func (e *Entry) linkedCandidates(cands []routing.Candidate) []linkedCandidate {
+	out := make([]linkedCandidate, 0, len(cands))
 	for _, c := range cands {
 		if p := e.peers.get(c.ID); p != nil {
-			out = append(out, asked{c, p})
+			out = append(out, linkedCandidate{c, p})
 		}
 	}
 	return out
 }
 
+// noTargetRetry is the RetryAfter of a request that no target serves.
 const noTargetRetry = time.Second
 
 func (e *Entry) noTarget(r *Request) error {
--- a/node/entry/drain.go
+++ b/node/entry/drain.go
@@ -5,32 +5,34 @@
 	"almondseam.dev/node/wire"
 )
 
-// SetDrains takes the targets that operators drain, with the incarnation that
-// is meant, 0 for whichever runs. Each linked agent that is meant is told; one
-// that links later is told when it announces itself.
+// SetDrains sets the targets that operators drain. The value is the incarnation to
+// drain, 0 for any. The entry sends a drain message to each of these targets that
+// is linked now, and to others when they link and announce themselves.
 func (e *Entry) SetDrains(drains map[api.TargetID]api.Incarnation) {
 	e.drains.Store(&drains)
 	for _, p := range e.peers.all() {
-		e.drain(p)
+		e.sendDrain(p)
 	}
 }
 
-// drain tells an agent to leave if an operator wants it. SetDrains stores the
-// list before it looks at the peers, and an announcement puts the peer before it
-// looks at the list, so one of the two always finds the other. An agent that
-// missed the message with its link is told again when it announces itself anew.
-func (e *Entry) drain(p *peer) {
+// sendDrain tells an agent to leave if an operator drains its target. SetDrains
+// stores the list before it reads the table of peers, and an announcement adds the
+// peer to the table before it reads the list, so at least one of the two finds the
+// other. An agent that missed the message because its link was lost gets it again
+// when it next announces itself.
+func (e *Entry) sendDrain(p *peer) {
 	drains := e.drains.Load()
 	if drains == nil || p.leaving.Load() {
 		return
 	}
-	if inc, meant := (*drains)[p.target]; meant && (inc == 0 || inc == p.inc) {
-		_ = p.to.Send(&wire.Drain{Incarnation: p.inc})
+	if inc, drain := (*drains)[p.target]; drain && (inc == 0 || inc == p.inc) {
+		_ = p.link.Send(&wire.Drain{Incarnation: p.inc})
 	}
 }
 
-// SetEvacuated takes the availability zones that operators have evacuated: their targets get
-// nothing new from now on, and go on with what they have.
+// SetEvacuated sets the availability zones that operators have evacuated. From now
+// on, targets in them get no new requests; requests that are in progress there
+// continue.
 func (e *Entry) SetEvacuated(zones []api.Zone) { e.evacuated.Store(&zones) }
 
 func (e *Entry) evacuatedZones() []api.Zone {
--- a/node/entry/entry.go
+++ b/node/entry/entry.go
@@ -14,48 +14,56 @@
 	"github.com/sourcegraph/conc"
 )
 
-// Config of an entry. Zero values take the defaults below.
+// Config configures an Entry. Zero fields take the defaults below.
 type Config struct {
-	// Bid bounds the wait for bids, and Offer the wait for an agent's answer to
-	// an offer and to a tombstone.
+	// Bid is the maximum wait for bids. Offer is the maximum wait for an agent's
+	// answer to an offer, and then for its answer to a tombstone.
 	Bid   time.Duration
 	Offer time.Duration
-	// Relink is how long a request waits for its agent to come back after a
-	// link was lost.
+	// Relink is how long a request whose link was lost waits for the agent to
+	// connect again.
 	Relink time.Duration
 	Clock  func() time.Time
 }
 
-// Defaults of Config.
+// The default values of Config.
 const (
 	DefaultBid    = 250 * time.Millisecond
 	DefaultOffer  = 2 * time.Second
 	DefaultRelink = 10 * time.Second
 )
 
-// Entry places requests and follows them. Make it with New.
+// Entry places requests on targets and follows each one to its end. New returns
+// one.
 type Entry struct {
-	cfg     Config
-	placer  Placer
-	retrier Retrier
-	obs     Observer
-	peers   *peers
-	legs    *legs
-	bids    *bids
-	work    conc.WaitGroup
-	drains  atomic.Pointer[map[api.TargetID]api.Incarnation]
-	// evacuated are the availability zones whose targets get nothing new; nil for none.
+	cfg        Config
+	placer     Placer
+	retrier    Retrier
+	obs        Observer
+	peers      *peers
+	dispatches *dispatches
+	bids       *bids
+	work       conc.WaitGroup
+	// drains holds the targets that operators drain, with the incarnation to drain,
+	// 0 for any; nil before the first SetDrains.
+	drains atomic.Pointer[map[api.TargetID]api.Incarnation]
+	// evacuated holds the availability zones whose targets get no new requests; nil
+	// before the first SetEvacuated.
 	evacuated atomic.Pointer[[]api.Zone]
-	fleet     atomic.Pointer[fleetEntries]
-	ready     atomic.Pointer[map[api.TargetID]bool]
-	orderer   Orderer
-	// fetching ends the fetching of orders.
-	fetching context.Context
-	lease    time.Duration
-	pace     atomic.Int64 // interval of load reports last told, in nanoseconds
+	// entries holds the entries of the fleet; nil before the first SetEntries.
+	entries atomic.Pointer[fleetEntries]
+	// ready holds the targets with a waiting order and none in flight; nil
+	// before the first SetOrders.
+	ready   atomic.Pointer[map[api.TargetID]bool]
+	orderer Orderer
+	// orderCtx ends the fetching of orders when it is done.
+	orderCtx context.Context
+	// lease is the lease that agents get for an order.
+	lease time.Duration
+	pace  atomic.Int64 // interval of load reports last sent to the agents, in nanoseconds
 }
 
-// New makes an entry. obs may be nil.
+// New returns an entry. obs may be nil.
 func New(cfg Config, placer Placer, retrier Retrier, obs Observer) *Entry {
 	cfg.Bid = cmp.Or(cfg.Bid, DefaultBid)
 	cfg.Offer = cmp.Or(cfg.Offer, DefaultOffer)
@@ -67,23 +75,24 @@
 		obs = noObserver{}
 	}
 	return &Entry{
-		cfg:     cfg,
-		placer:  placer,
-		retrier: retrier,
-		obs:     obs,
-		peers:   newPeers(),
-		legs:    newLegs(),
-		bids:    newBids(),
+		cfg:        cfg,
+		placer:     placer,
+		retrier:    retrier,
+		obs:        obs,
+		peers:      newPeers(),
+		dispatches: newDispatches(),
+		bids:       newBids(),
 	}
 }
 
-// Wait returns when no request is in progress.
+// Wait returns when no request is in progress and no order is being fetched or
+// reported.
 func (e *Entry) Wait() { e.work.Wait() }
 
-// Targets counts the linked agents.
+// Targets returns the number of linked agents.
 func (e *Entry) Targets() int { return len(e.peers.all()) }
 
-// TargetView is one linked target as this entry sees it.
+// TargetView describes one linked target as this entry sees it.
 type TargetView struct {
 	Target      api.TargetID
 	Incarnation api.Incarnation
@@ -91,7 +100,7 @@
 	Leaving     bool
 }
 
-// View lists the linked targets by name.
+// View returns the linked targets, sorted by ID.
 func (e *Entry) View() []TargetView {
 	all := e.peers.all()
 	out := make([]TargetView, 0, len(all))
@@ -102,16 +111,19 @@
 	return out
 }
 
-// Reasons for the end of a request from the caller's side.
+// errCallerGone is the cancellation cause of a request whose caller has gone for
+// good.
 var errCallerGone = errors.New("caller has gone")
 
-// callerHeld ends the entry's part and leaves the generation running for hold.
-type callerHeld struct{ hold time.Duration }
+// callerDetached is the cancellation cause of a request whose caller has gone and
+// may come back. It ends the work of the entry; the agent keeps the generation
+// running for the duration hold.
+type callerDetached struct{ hold time.Duration }
 
-func (callerHeld) Error() string { return "caller has gone and may come back" }
+func (callerDetached) Error() string { return "caller has gone and may come back" }
 
-// Start places a request and gives its answer. ctx ends the request when the
-// process stops hard.
+// Start places a request in the background and returns its answer. Cancelling ctx
+// ends the request; it is cancelled when the process stops without draining.
 func (e *Entry) Start(ctx context.Context, r *Request) *Answer {
 	a := newAnswer()
 	ctx, a.cancel = context.WithCancelCause(ctx)
@@ -124,116 +136,122 @@
 	return a
 }
 
-// AgentLink is what the link layer calls for one agent's link: Handle for each
-// message, in order, on one goroutine, then Closed.
+// AgentLink handles one agent's link. The link layer calls Handle for each message,
+// in order and on one goroutine, then Closed.
 type AgentLink struct {
 	e    *Entry
-	to   sender
-	self *peer
+	link sender
+	// agent is nil until the agent has announced itself.
+	agent *peer
 }
 
-// Attach makes a link known; its agent is not used before it has announced.
-func (e *Entry) Attach(to sender) *AgentLink { return &AgentLink{e: e, to: to} }
+// Attach returns the handler for a new link. The agent is not used before it has
+// announced itself.
+func (e *Entry) Attach(link sender) *AgentLink { return &AgentLink{e: e, link: link} }
 
-// Closed forgets the link. Requests on it wait for the agent to come back.
-func (t *AgentLink) Closed() {
-	if t.self == nil {
+// Closed removes the link, unless a newer link of the target has replaced it.
+// Requests on it wait up to Config.Relink for the agent to connect again.
+func (l *AgentLink) Closed() {
+	if l.agent == nil {
 		return
 	}
-	if t.e.peers.drop(t.self.target, t.to) {
-		t.e.placer.Remove(t.self.target, t.self.inc)
-		t.e.repace(nil)
-		t.e.obs.TargetGone(t.self.view())
+	if l.e.peers.removeLink(l.agent.target, l.link) {
+		l.e.placer.Remove(l.agent.target, l.agent.inc)
+		l.e.updatePace(nil)
+		l.e.obs.TargetGone(l.agent.view())
 	}
 }
 
-// Handle takes one message.
-func (t *AgentLink) Handle(m wire.Message) {
+// Handle processes one message.
+func (l *AgentLink) Handle(m wire.Message) {
 	switch m := m.(type) {
 	case *wire.Announce:
-		t.onAnnounce(m)
+		l.onAnnounce(m)
 	case *wire.Load:
-		t.onLoad(m)
+		l.onLoad(m)
 	case *wire.OrderState:
-		t.onOrderState(m)
+		l.onOrderState(m)
 	case *wire.Bid:
-		t.e.bids.answer(t.target(), m)
+		l.e.bids.answer(l.target(), m)
 	case *wire.Data:
-		if g := t.e.leg(m.Key); g != nil {
-			g.onData(m)
+		if d := l.e.dispatch(m.Key); d != nil {
+			d.onData(m)
 		}
 	case *wire.Head:
-		if g := t.e.leg(m.Key); g != nil {
-			g.answer.setHead(m)
+		if d := l.e.dispatch(m.Key); d != nil {
+			d.answer.setHead(m)
 		}
 	case *wire.State:
-		if g := t.e.leg(m.Key); g != nil {
-			g.answer.setPhase(m.Phase, m.Position)
+		if d := l.e.dispatch(m.Key); d != nil {
+			d.answer.setPhase(m.Phase, m.Position)
 		}
 	case *wire.Accepted:
-		t.onAccepted(m)
+		l.onAccepted(m)
 	case *wire.Refused:
-		t.e.tell(m.Key, m)
+		l.e.deliver(m.Key, m)
 	case *wire.Final:
-		t.e.tell(m.Key, m)
+		l.e.deliver(m.Key, m)
 	case *wire.Tombstoned:
-		t.e.tell(m.Key, m)
+		l.e.deliver(m.Key, m)
 	case *wire.Returned:
-		t.e.tell(m.Key, m)
+		l.e.deliver(m.Key, m)
 	}
 }
 
-// onAccepted sets the phase here, in the order of the link, and not where the
-// driver hears of it: "started" may be right behind, and a caller must not be
-// told "queued" after it.
-func (t *AgentLink) onAccepted(m *wire.Accepted) {
-	g := t.e.leg(m.Key)
-	if g == nil {
+// onAccepted sets the phase on the link's reading goroutine, in the order of the
+// messages, and not on the goroutine that drives the request. The agent's "started"
+// may follow at once, and the caller must not be told "queued" after it.
+func (l *AgentLink) onAccepted(m *wire.Accepted) {
+	d := l.e.dispatch(m.Key)
+	if d == nil {
 		return
 	}
-	g.heard.Store(true)
-	if g.key.Attempt == 0 {
-		g.answer.setPhase(wire.PhaseStarted, 0)
+	d.acceptReceived.Store(true)
+	if d.key.Attempt == 0 {
+		d.answer.setPhase(wire.PhaseStarted, 0)
 	} else {
-		g.answer.setPhase(wire.PhaseQueued, m.Position)
+		d.answer.setPhase(wire.PhaseQueued, m.Position)
 	}
-	g.tell(m)
+	d.deliver(m)
 }
 
-func (e *Entry) leg(k wire.Key) *leg {
-	g := e.legs.find(k)
-	if g == nil {
+// dispatch returns the dispatch that a frame belongs to. If there is none, it
+// counts the frame as late and returns nil.
+func (e *Entry) dispatch(k wire.Key) *dispatch {
+	d := e.dispatches.find(k)
+	if d == nil {
 		e.obs.Dropped("late")
 	}
-	return g
+	return d
 }
 
-func (e *Entry) tell(k wire.Key, m wire.Message) {
-	if g := e.leg(k); g != nil {
-		g.tell(m)
+func (e *Entry) deliver(k wire.Key, m wire.Message) {
+	if d := e.dispatch(k); d != nil {
+		d.deliver(m)
 	}
 }
 
-func (t *AgentLink) target() api.TargetID {
-	if t.self == nil {
+// target returns the ID of the link's target, empty before the first announcement.
+func (l *AgentLink) target() api.TargetID {
+	if l.agent == nil {
 		return ""
 	}
-	return t.self.target
+	return l.agent.target
 }
 
-func (t *AgentLink) onAnnounce(m *wire.Announce) {
-	fresh := t.self == nil || t.self.inc != m.Incarnation || t.self.target != m.Target
+func (l *AgentLink) onAnnounce(m *wire.Announce) {
+	fresh := l.agent == nil || l.agent.inc != m.Incarnation || l.agent.target != m.Target
 	if fresh {
-		t.self = &peer{target: m.Target, inc: m.Incarnation, to: t.to, zone: m.Zone, links: m.Links}
-		t.e.peers.put(t.self)
-		t.e.repace(t.to)
-		t.e.obs.TargetAnnounced(t.self.view())
+		l.agent = &peer{target: m.Target, inc: m.Incarnation, link: l.link, zone: m.Zone, links: m.Links}
+		l.e.peers.put(l.agent)
+		l.e.updatePace(l.link)
+		l.e.obs.TargetAnnounced(l.agent.view())
 	}
-	if !t.self.leaving.Swap(m.Leaving) && m.Leaving {
-		t.e.obs.TargetLeaving(t.self.view())
+	if !l.agent.leaving.Swap(m.Leaving) && m.Leaving {
+		l.e.obs.TargetLeaving(l.agent.view())
 	}
-	t.self.clock.Store(int64(m.Clock))
-	t.e.placer.Announce(routing.Target{
+	l.agent.clock.Store(int64(m.Clock))
+	l.e.placer.Announce(routing.Target{
 		ID:          m.Target,
 		Incarnation: m.Incarnation,
 		Zone:        m.Zone,
@@ -242,23 +260,23 @@
 		Leaving:     m.Leaving,
 		Capacity:    m.Capacity,
 	})
-	t.e.drain(t.self)
-	t.e.tellEntries(t.self)
-	if p := t.self; t.e.orderReady(p.target) {
-		t.e.work.Go(func() { t.e.fetchOrder(t.e.fetching, p) })
+	l.e.sendDrain(l.agent)
+	l.e.sendEntries(l.agent)
+	if p := l.agent; l.e.orderReady(p.target) {
+		l.e.work.Go(func() { l.e.fetchOrder(l.e.orderCtx, p) })
 	}
 }
 
-func (t *AgentLink) onLoad(m *wire.Load) {
-	if t.self == nil {
+func (l *AgentLink) onLoad(m *wire.Load) {
+	if l.agent == nil {
 		return
 	}
-	t.self.clock.Store(int64(m.Clock))
-	t.e.placer.Report(t.self.target, t.self.inc, routing.Load{
+	l.agent.clock.Store(int64(m.Clock))
+	l.e.placer.Report(l.agent.target, l.agent.inc, routing.Load{
 		Running:  m.Running,
 		Waiting:  m.Waiting,
 		Free:     m.Free,
 		Capacity: m.Capacity,
-		Reported: t.e.cfg.Clock(),
+		Reported: l.e.cfg.Clock(),
 	})
 }
--- a/node/entry/entry_test.go
+++ b/node/entry/entry_test.go
@@ -11,191 +11,194 @@
 	qt "github.com/frankban/quicktest"
 )
 
-// Frames are repeated, lost, reordered and mixed with those of another
-// generation. The caller gets every item once, in order, and the entry asks for
-// the missing ones once, not once for each frame behind the gap.
+// Frames are repeated, lost, reordered and mixed with those of another generation.
+// The caller must get every item once and in order. The entry must request missing
+// items once and not for each frame behind the gap.
 func TestFramesThatCross(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		b, a, ans, o := accepted(t)
+		h, a, ans, o := startAccepted(t)
 		a.data(o, "g-t1", 0, "a", "b")
 		a.data(o, "g-t1", 0, "a", "b") // repeated
 		a.data(o, "other", 2, "X")     // another generation
 		a.data(o, "g-t1", 3, "d")      // "c" is missing
 		a.data(o, "g-t1", 4, "e")
-		r := hear[*wire.Resume](a)
-		b.c.Assert(r.Offset, qt.Equals, uint64(2))
-		b.c.Assert(r.Generation, qt.Equals, api.GenerationID("g-t1"))
-		a.hush()
-		a.data(o, "g-t1", 1, "b", "c", "d", "e") // overlaps what is there
+		r := expect[*wire.Resume](a)
+		h.c.Assert(r.Offset, qt.Equals, uint64(2))
+		h.c.Assert(r.Generation, qt.Equals, api.GenerationID("g-t1"))
+		a.expectNothing()
+		a.data(o, "g-t1", 1, "b", "c", "d", "e") // overlaps the items received before
 		a.final(o, "g-t1", "a", "b", "c", "d", "e")
-		b.c.Assert(read(ans), qt.Equals, told{text: "abcde", end: End{Outcome: api.OutcomeCompleted}})
-		b.c.Assert(b.drops.n, qt.DeepEquals, map[string]int{"duplicate": 1, "foreign": 1, "gap": 2})
+		h.c.Assert(readAll(ans), qt.Equals, callerResult{text: "abcde", end: End{Outcome: api.OutcomeCompleted}})
+		h.c.Assert(h.recorder.dropped, qt.DeepEquals, map[string]int{"duplicate": 1, "foreign": 1, "gap": 2})
 		a.data(o, "g-t1", 5, "late")
-		b.c.Assert(b.drops.n["late"], qt.Equals, 1)
+		h.c.Assert(h.recorder.dropped["late"], qt.Equals, 1)
 	})
 }
 
-// The final frame overtakes items, or its checksum disagrees. The first is
-// mended by asking for the rest; the second must reach the caller as an error.
+// The final frame arrives before some of the items, or its checksum does not match.
+// The entry must request the missing items in the first case and report an error to
+// the caller in the second.
 func TestFinalThatDoesNotAgree(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		b, a, ans, o := accepted(t)
+		h, a, ans, o := startAccepted(t)
 		a.data(o, "g-t1", 0, "a")
 		a.final(o, "g-t1", "a", "b")
-		b.c.Assert(hear[*wire.Resume](a).Offset, qt.Equals, uint64(1))
+		h.c.Assert(expect[*wire.Resume](a).Offset, qt.Equals, uint64(1))
 		a.data(o, "g-t1", 1, "X")
 		a.final(o, "g-t1", "a", "b")
-		got := read(ans)
-		b.c.Assert(got.end.Outcome, qt.Equals, api.OutcomeInterrupted)
-		b.c.Assert(got.end.Reason, qt.Equals, api.ReasonIntegrity)
+		got := readAll(ans)
+		h.c.Assert(got.end.Outcome, qt.Equals, api.OutcomeInterrupted)
+		h.c.Assert(got.end.Reason, qt.Equals, api.ReasonIntegrity)
 	})
 }
 
-// An offer is held up in the link of an agent that does not answer. Before the
-// request may be started elsewhere, a tombstone forbids the late offer and the
-// agent's answer proves that nothing ran.
+// An agent does not answer an offer, which may still be on its way to the agent.
+// Before the request may start at another agent, the entry must send a tombstone,
+// and the agent's answer must prove that the request did not run.
 func TestSilentAgentIsBuriedBeforeTheRequestMoves(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		b := newBench(t)
-		a1, a2 := b.agent("t1", 1), b.agent("t2", 1)
-		ans := b.start(booking())
-		o1 := hear[*wire.Offer](a1)
-		a2.hush()
-		ts := hear[*wire.Tombstone](a1)
-		b.c.Assert(ts.Key, qt.Equals, o1.Key)
-		a2.hush()
-		a1.say(&wire.Tombstoned{Key: ts.Key, NotRun: true})
-		o2 := hear[*wire.Offer](a2)
-		b.c.Assert(o2.Key.Attempt, qt.Equals, api.Attempt(2))
+		h := newHarness(t)
+		a1, a2 := h.agent("t1", 1), h.agent("t2", 1)
+		ans := h.start(bookingRequest())
+		o1 := expect[*wire.Offer](a1)
+		a2.expectNothing()
+		ts := expect[*wire.Tombstone](a1)
+		h.c.Assert(ts.Key, qt.Equals, o1.Key)
+		a2.expectNothing()
+		a1.send(&wire.Tombstoned{Key: ts.Key, NotRun: true})
+		o2 := expect[*wire.Offer](a2)
+		h.c.Assert(o2.Key.Attempt, qt.Equals, api.Attempt(2))
 		a2.accept(o2)
-		a2.say(&wire.Head{Key: o2.Key, Generation: "g-t2", Status: 201})
+		a2.send(&wire.Head{Key: o2.Key, Generation: "g-t2", Status: 201})
 		a2.final(o2, "g-t2")
-		b.c.Assert(read(ans).end.Outcome, qt.Equals, api.OutcomeCompleted)
+		h.c.Assert(readAll(ans).end.Outcome, qt.Equals, api.OutcomeCompleted)
 	})
 }
 
-// What a caller is told of a booking after each fault, and whether the other
-// target was asked. Only a proof lets the booking go there.
+// After each fault, checks the outcome that the caller gets for a request that must
+// not be repeated, and whether the request moved to the other target. It may move
+// only if it is proved not to have run.
 func TestBookingAfterFaults(t *testing.T) {
 	tests := []struct {
 		name    string
-		fault   func(b *bench, a *fakeAgent, o *wire.Offer)
+		fault   func(h *harness, a *fakeAgent, o *wire.Offer)
 		outcome api.Outcome
 		moves   bool
 	}{
-		{"refused", func(_ *bench, a *fakeAgent, o *wire.Offer) {
-			a.say(&wire.Refused{Key: o.Key, Reason: api.ReasonTargetLeaving})
+		{"refused", func(_ *harness, a *fakeAgent, o *wire.Offer) {
+			a.send(&wire.Refused{Key: o.Key, Reason: api.ReasonTargetLeaving})
 		}, api.OutcomeCompleted, true},
-		{"agent answers nothing at all", func(_ *bench, a *fakeAgent, o *wire.Offer) {
-			hear[*wire.Tombstone](a)
+		{"agent answers nothing at all", func(_ *harness, a *fakeAgent, o *wire.Offer) {
+			expect[*wire.Tombstone](a)
 		}, api.OutcomeUnknown, false},
-		{"tombstone comes too late", func(_ *bench, a *fakeAgent, o *wire.Offer) {
-			a.say(&wire.Tombstoned{Key: hear[*wire.Tombstone](a).Key})
+		{"tombstone comes too late", func(_ *harness, a *fakeAgent, o *wire.Offer) {
+			a.send(&wire.Tombstoned{Key: expect[*wire.Tombstone](a).Key})
 		}, api.OutcomeUnknown, false},
-		{"target never reached", func(_ *bench, a *fakeAgent, o *wire.Offer) {
+		{"target never reached", func(_ *harness, a *fakeAgent, o *wire.Offer) {
 			a.accept(o)
 			a.fail(o, api.OutcomeNotRun, api.ReasonEngineUnreachable)
 		}, api.OutcomeCompleted, true},
-		{"service closes after reading", func(_ *bench, a *fakeAgent, o *wire.Offer) {
+		{"service closes after reading", func(_ *harness, a *fakeAgent, o *wire.Offer) {
 			a.accept(o)
 			a.fail(o, api.OutcomeUnknown, api.ReasonEngineDied)
 		}, api.OutcomeUnknown, false},
-		{"link lost and agent stays away", func(_ *bench, a *fakeAgent, o *wire.Offer) {
+		{"link lost and agent stays away", func(_ *harness, a *fakeAgent, o *wire.Offer) {
 			a.accept(o)
-			a.lose()
+			a.closeLink()
 		}, api.OutcomeUnknown, false},
-		{"agent restarts", func(b *bench, a *fakeAgent, o *wire.Offer) {
-			a.lose()
-			b.agent("t1", 2)
+		{"agent restarts", func(h *harness, a *fakeAgent, o *wire.Offer) {
+			a.closeLink()
+			h.agent("t1", 2)
 		}, api.OutcomeUnknown, false},
 	}
 	for _, tc := range tests {
 		t.Run(tc.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				b := newBench(t)
-				a1, a2 := b.agent("t1", 1), b.agent("t2", 1)
-				ans := b.start(booking())
-				tc.fault(b, a1, hear[*wire.Offer](a1))
+				h := newHarness(t)
+				a1, a2 := h.agent("t1", 1), h.agent("t2", 1)
+				ans := h.start(bookingRequest())
+				tc.fault(h, a1, expect[*wire.Offer](a1))
 				if tc.moves {
-					o := hear[*wire.Offer](a2)
+					o := expect[*wire.Offer](a2)
 					a2.accept(o)
 					a2.final(o, "g-t2")
 				}
-				b.c.Assert(read(ans).end.Outcome, qt.Equals, tc.outcome)
-				a2.hush()
+				h.c.Assert(readAll(ans).end.Outcome, qt.Equals, tc.outcome)
+				a2.expectNothing()
 			})
 		})
 	}
 }
 
 // The link is lost before the agent has answered the offer, and comes back. The
-// offer is sent again under the same key, which the agent recognises.
+// entry must send the offer again under the same key, by which the agent recognises
+// it.
 func TestUnansweredOfferIsSentAgainUnderItsKey(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		b := newBench(t)
-		a := b.agent("t1", 1)
-		ans := b.start(booking())
-		o := hear[*wire.Offer](a)
-		a.lose()
-		back := b.agent("t1", 1)
-		again := hear[*wire.Offer](back)
-		b.c.Assert(again.Key, qt.Equals, o.Key)
+		h := newHarness(t)
+		a := h.agent("t1", 1)
+		ans := h.start(bookingRequest())
+		o := expect[*wire.Offer](a)
+		a.closeLink()
+		back := h.agent("t1", 1)
+		again := expect[*wire.Offer](back)
+		h.c.Assert(again.Key, qt.Equals, o.Key)
 		back.accept(again)
 		back.final(again, "g-t1")
-		b.c.Assert(read(ans).end.Outcome, qt.Equals, api.OutcomeCompleted)
+		h.c.Assert(readAll(ans).end.Outcome, qt.Equals, api.OutcomeCompleted)
 	})
 }
 
-// The caller goes while its request waits for a lost agent. The request ends at
-// once, not after the wait.
+// The caller disconnects while its request waits for a lost agent to link again.
+// The request must end at once and not after that wait.
 func TestCallerGoesWhileAgentIsAway(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		b := newBench(t)
-		a := b.agent("t1", 1)
-		ans := b.start(generation())
-		a.accept(hear[*wire.Offer](a))
-		a.lose()
+		h := newHarness(t)
+		a := h.agent("t1", 1)
+		ans := h.start(generationRequest())
+		a.accept(expect[*wire.Offer](a))
+		a.closeLink()
 		synctest.Wait()
 		start := time.Now()
 		ans.Cancel(0)
-		b.c.Assert(read(ans).end.Reason, qt.Equals, api.ReasonCancelled)
-		b.c.Assert(time.Since(start), qt.Equals, time.Duration(0))
+		h.c.Assert(readAll(ans).end.Reason, qt.Equals, api.ReasonCancelled)
+		h.c.Assert(time.Since(start), qt.Equals, time.Duration(0))
 	})
 }
 
-// The machine is so busy that the driver runs again only after the deadline of
-// the offer, with the agent's acceptance waiting for it. It must not bury the
-// request: the agent would cut off what is running.
+// On a busy machine, the goroutine that drives a request runs again only after the
+// timeout of the offer, when the agent's Accepted has already arrived. It must not
+// send a tombstone, because the agent would end a request that is running.
 func TestLateDriverDoesNotBuryARunningRequest(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		for range 50 { // the runtime chooses at random between what is ready
-			b := newBench(t)
-			a := b.agent("t1", 1)
-			p := b.entry.peers.get("t1")
-			g := newLeg(&Request{ID: "r1"}, newAnswer(), 1, p, b.drops)
-			b.entry.legs.add(g)
-			f := follower{e: b.entry, g: g, deadline: time.NewTimer(time.Second)}
-			a.say(&wire.Accepted{Key: g.key, Generation: "g"})
+		for range 50 { // select chooses at random among the cases that are ready
+			h := newHarness(t)
+			a := h.agent("t1", 1)
+			p := h.entry.peers.get("t1")
+			d := newDispatch(&Request{ID: "r1"}, newAnswer(), 1, p, h.recorder)
+			h.entry.dispatches.add(d)
+			f := follower{e: h.entry, d: d, deadline: time.NewTimer(time.Second)}
+			a.send(&wire.Accepted{Key: d.key, Generation: "g"})
 			time.Sleep(2 * time.Second)
 			for range 2 {
 				done, err := f.step(t.Context())
-				b.c.Assert(done, qt.IsFalse, qt.Commentf("%v", err))
+				h.c.Assert(done, qt.IsFalse, qt.Commentf("%v", err))
 				if f.accepted {
 					break
 				}
 			}
-			a.hush()
+			a.expectNothing()
 		}
 	})
 }
 
-// An answer of large items, such as chunks with log probabilities, comes one
-// item at a time. The entry must acknowledge by bytes handed out: an agent stops
-// at its bound of unacknowledged bytes, long before a count of items is reached,
-// and the answer would stand still for good.
+// An answer consists of large items, such as chunks with log probabilities, that
+// arrive one at a time. The entry must acknowledge them by their bytes: the agent
+// stops at its limit of unacknowledged bytes long before a count of items is
+// reached, and the answer would stall forever.
 func TestLargeItemsAreAcknowledgedByTheirBytes(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		b, a, ans, o := accepted(t)
+		h, a, ans, o := startAccepted(t)
 		item := strings.Repeat("x", 1<<10)
 		var acked uint64
 		for i := range uint64(32) {
@@ -208,79 +211,79 @@
 				acked = m.(*wire.Ack).Offset
 			default:
 			}
-			b.c.Assert(i+1-acked <= ackEvery>>10, qt.IsTrue, qt.Commentf("%d items, acknowledged up to %d", i+1, acked))
+			h.c.Assert(i+1-acked <= ackBytes>>10, qt.IsTrue, qt.Commentf("%d items, acknowledged up to %d", i+1, acked))
 		}
 		ans.Cancel(0)
 	})
 }
 
-// The agent sends the last items and the final frame and is killed, and the
-// driver comes to run only then. The caller must get its whole answer at once,
-// since all of it has arrived, and not wait for an agent that is gone.
+// The agent sends the last items and the final frame and is killed before the
+// goroutine that drives the request runs. All of the answer has arrived, so the
+// caller must get it at once, without a wait for the agent to link again.
 func TestFinalFrameGoesBeforeTheEndOfItsLink(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		for range 50 { // the runtime chooses at random between what is ready
-			b := newBench(t)
-			a := b.agent("t1", 1)
-			g := newLeg(&Request{ID: "r1"}, newAnswer(), 1, b.entry.peers.get("t1"), b.drops)
-			b.entry.legs.add(g)
-			f := follower{e: b.entry, g: g, accepted: true, deadline: stoppedTimer()}
-			o := &wire.Offer{Key: g.key}
+		for range 50 { // select chooses at random among the cases that are ready
+			h := newHarness(t)
+			a := h.agent("t1", 1)
+			d := newDispatch(&Request{ID: "r1"}, newAnswer(), 1, h.entry.peers.get("t1"), h.recorder)
+			h.entry.dispatches.add(d)
+			f := follower{e: h.entry, d: d, accepted: true, deadline: stoppedTimer()}
+			o := &wire.Offer{Key: d.key}
 			a.data(o, "g", 0, "a")
 			a.final(o, "g", "a")
-			a.lose()
+			a.closeLink()
 			done, err := f.step(t.Context())
-			b.c.Assert(err, qt.IsNil)
-			b.c.Assert(done, qt.IsTrue)
+			h.c.Assert(err, qt.IsNil)
+			h.c.Assert(done, qt.IsTrue)
 		}
 	})
 }
 
-// What an entry tells of a target that starts, leaves, starts anew on another
-// link and loses it: each once, though an agent announces itself again and again.
+// The observer must be told once when a target starts, leaves, starts again on
+// another link and loses that link, although an agent announces itself repeatedly.
 func TestTargetsAreTold(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		b := newBench(t)
-		a := b.agent("t1", 1)
+		h := newHarness(t)
+		a := h.agent("t1", 1)
 		leaving := &wire.Announce{Target: "t1", Incarnation: 1, Leaving: true}
-		a.say(leaving)
-		a.say(leaving)
-		next := b.agent("t1", 2)
-		a.lose() // the newer link has replaced it already
-		next.lose()
-		b.c.Assert(b.drops.targets, qt.DeepEquals, []string{"announced 1", "leaving 1", "announced 2", "gone 2"})
+		a.send(leaving)
+		a.send(leaving)
+		next := h.agent("t1", 2)
+		a.closeLink() // the newer link has already replaced this one
+		next.closeLink()
+		h.c.Assert(h.recorder.targets, qt.DeepEquals, []string{"announced 1", "leaving 1", "announced 2", "gone 2"})
 	})
 }
 
-// A customer comes back for its answer; another one, who has learnt the request's
-// ID, asks for it at the same entry. The agent has accepted the first alone, and
-// not one item may reach the other, nor be kept from the first.
+// A customer resumes its request, and another customer, who has learnt the ID of
+// the request, asks for it at the same entry. The agent accepts only the first. The
+// other customer must not receive any item, and the first must receive all of them.
 func TestStrangerGetsNothingOfARequestItNames(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		b := newBench(t)
-		a := b.agent("t1", 1)
-		place := ResumePoint{Target: "t1", Generation: "g-t1", Offset: 1}
+		h := newHarness(t)
+		a := h.agent("t1", 1)
+		point := ResumePoint{Target: "t1", Generation: "g-t1", Offset: 1}
 		request := func(c api.CustomerID) *Request { return &Request{ID: "r1", Size: wire.Size{Customer: c}} }
 		o := &wire.Offer{Key: wire.Key{Request: "r1", Attempt: 2}}
 
-		early, err := b.entry.Resume(t.Context(), request("stranger"), place)
-		b.c.Assert(err, qt.IsNil)
-		asked := hear[*wire.Resume](a)
-		a.data(o, "g-t1", 1, "secret") // for its owner, on the same link
-		a.say(&wire.Returned{Key: asked.Key, Reason: api.ReasonTargetGone})
-		got := read(early)
-		b.c.Assert(got.text, qt.Equals, "")
-		b.c.Assert(got.end.Reason, qt.Equals, api.ReasonTargetGone)
+		early, err := h.entry.Resume(t.Context(), request("stranger"), point)
+		h.c.Assert(err, qt.IsNil)
+		asked := expect[*wire.Resume](a)
+		a.data(o, "g-t1", 1, "secret") // sent to the owner of the request on the same link
+		a.send(&wire.Returned{Key: asked.Key, Reason: api.ReasonTargetGone})
+		got := readAll(early)
+		h.c.Assert(got.text, qt.Equals, "")
+		h.c.Assert(got.end.Reason, qt.Equals, api.ReasonTargetGone)
 		synctest.Wait()
 
-		owner, err := b.entry.Resume(t.Context(), request("owner"), place)
-		b.c.Assert(err, qt.IsNil)
-		asked = hear[*wire.Resume](a)
-		a.say(&wire.Accepted{Key: asked.Key, Generation: "g-t1"})
-		_, err = b.entry.Resume(t.Context(), request("stranger"), place)
-		b.c.Assert(api.AsError(err).Reason, qt.Equals, api.ReasonTargetGone)
+		owner, err := h.entry.Resume(t.Context(), request("owner"), point)
+		h.c.Assert(err, qt.IsNil)
+		asked = expect[*wire.Resume](a)
+		a.send(&wire.Accepted{Key: asked.Key, Generation: "g-t1"})
+		_, err = h.entry.Resume(t.Context(), request("stranger"), point)
+		h.c.Assert(api.AsError(err).Reason, qt.Equals, api.ReasonTargetGone)
 		a.data(o, "g-t1", 1, "b", "c")
-		a.say(&wire.Final{Key: o.Key, Generation: "g-t1", Count: 3, Outcome: api.OutcomeCompleted})
-		b.c.Assert(read(owner), qt.Equals, told{text: "bc", end: End{Outcome: api.OutcomeCompleted}})
+		a.send(&wire.Final{Key: o.Key, Generation: "g-t1", Count: 3, Outcome: api.OutcomeCompleted})
+		h.c.Assert(readAll(owner), qt.Equals, callerResult{text: "bc", end: End{Outcome: api.OutcomeCompleted}})
 	})
 }
--- a/node/entry/evacuation_test.go
+++ b/node/entry/evacuation_test.go
@@ -10,8 +10,8 @@
 	qt "github.com/frankban/quicktest"
 )
 
-// TestEvacuatedZoneIsNotChosen guards against work for targets of a zone that an operator has
-// evacuated, also where they are the only ones, and against one that never gets any again.
+// Targets in evacuated availability zones must not be chosen, even if they are the
+// only ones. Targets in other zones must still be chosen.
 func TestEvacuatedZoneIsNotChosen(t *testing.T) {
 	now := time.Date(2026, 12, 3, 12, 0, 0, 0, time.UTC)
 	for _, tt := range []struct {
@@ -45,12 +45,12 @@
 	}
 }
 
-// An entry is told of evacuated zones, and its requests go by the last list.
+// An entry must use the last list of evacuated zones that it was given.
 func TestEntryGoesByTheLastListOfEvacuatedZones(t *testing.T) {
-	b := newBench(t)
-	b.c.Assert(b.entry.evacuatedZones(), qt.HasLen, 0)
-	b.entry.SetEvacuated([]api.Zone{"a"})
-	b.c.Assert(b.entry.evacuatedZones(), qt.DeepEquals, []api.Zone{"a"})
-	b.entry.SetEvacuated(nil)
-	b.c.Assert(b.entry.evacuatedZones(), qt.HasLen, 0)
+	h := newHarness(t)
+	h.c.Assert(h.entry.evacuatedZones(), qt.HasLen, 0)
+	h.entry.SetEvacuated([]api.Zone{"a"})
+	h.c.Assert(h.entry.evacuatedZones(), qt.DeepEquals, []api.Zone{"a"})
+	h.entry.SetEvacuated(nil)
+	h.c.Assert(h.entry.evacuatedZones(), qt.HasLen, 0)
 }
--- a/node/entry/fake_test.go
+++ b/node/entry/fake_test.go
@@ -15,8 +15,9 @@
 	qt "github.com/frankban/quicktest"
 )
 
-// fakeLink is the entry's end of an agent's link; the test plays the agent. The
-// entry's pace is kept apart: it may come at any time and asks for no answer.
+// fakeLink is the entry's end of an agent's link; the test acts as the agent. It
+// records Pace messages separately, because they may be sent at any time and need
+// no answer.
 type fakeLink struct {
 	sent  chan wire.Message
 	done  chan struct{}
@@ -38,47 +39,53 @@
 
 func (l *fakeLink) Done() <-chan struct{} { return l.done }
 
-// fakeAgent is one agent under the test's hand.
+// fakeAgent is an agent whose messages the test sends.
 type fakeAgent struct {
-	c    *qt.C
-	id   api.TargetID
-	link *fakeLink
-	at   *AgentLink
+	c        *qt.C
+	id       api.TargetID
+	link     *fakeLink
+	entryEnd *AgentLink
 }
 
-func (b *bench) agent(id api.TargetID, inc api.Incarnation) *fakeAgent {
+// agent links an agent and announces it.
+func (h *harness) agent(id api.TargetID, inc api.Incarnation) *fakeAgent {
 	l := newFakeLink()
-	a := &fakeAgent{c: b.c, id: id, link: l, at: b.entry.Attach(l)}
-	a.say(&wire.Announce{Target: id, Incarnation: inc, Zone: "a", Models: []api.ModelID{"m"}, Services: []api.ServiceID{"s"}})
+	a := &fakeAgent{c: h.c, id: id, link: l, entryEnd: h.entry.Attach(l)}
+	a.send(&wire.Announce{Target: id, Incarnation: inc, Zone: "a", Models: []api.ModelID{"m"}, Services: []api.ServiceID{"s"}})
 	return a
 }
 
-func (a *fakeAgent) say(m wire.Message) { a.at.Handle(m) }
+// send passes a message of the agent to the entry.
+func (a *fakeAgent) send(m wire.Message) { a.entryEnd.Handle(m) }
 
-func (a *fakeAgent) lose() {
+// closeLink closes the agent's link.
+func (a *fakeAgent) closeLink() {
 	close(a.link.done)
-	a.at.Closed()
+	a.entryEnd.Closed()
 }
 
-// hear waits for the next message of type T that is no acknowledgement.
-func hear[T wire.Message](a *fakeAgent) T {
+// expect waits for the next message of type T to the agent. It skips
+// acknowledgements and Cancel, answers a BidRequest with a bid, and fails the test
+// on any other message.
+func expect[T wire.Message](a *fakeAgent) T {
 	a.c.Helper()
 	for {
 		switch m := (<-a.link.sent).(type) {
 		case T:
 			return m
 		case *wire.Ack:
-		case *wire.Cancel: // of a bid that wasn't taken
+		case *wire.Cancel: // of a bid that was not chosen
 		case *wire.BidRequest:
-			a.say(&wire.Bid{Key: m.Key})
+			a.send(&wire.Bid{Key: m.Key})
 		default:
-			a.c.Fatalf("agent %s heard %T", a.id, m)
+			a.c.Fatalf("agent %s got an unexpected %T", a.id, m)
 		}
 	}
 }
 
-// hush tells that nothing but acknowledgements is on its way to the agent.
-func (a *fakeAgent) hush() {
+// expectNothing fails the test if a message other than an acknowledgement has been
+// sent to the agent.
+func (a *fakeAgent) expectNothing() {
 	a.c.Helper()
 	synctest.Wait()
 	for {
@@ -87,7 +94,7 @@
 			switch m.(type) {
 			case *wire.Ack:
 			default:
-				a.c.Fatalf("agent %s heard %T", a.id, m)
+				a.c.Fatalf("agent %s got an unexpected %T", a.id, m)
 			}
 		default:
 			return
@@ -96,7 +103,7 @@
 }
 
 func (a *fakeAgent) accept(o *wire.Offer) {
-	a.say(&wire.Accepted{Key: o.Key, Generation: "g-" + api.GenerationID(a.id)})
+	a.send(&wire.Accepted{Key: o.Key, Generation: "g-" + api.GenerationID(a.id)})
 }
 
 func (a *fakeAgent) data(o *wire.Offer, gen api.GenerationID, off uint64, items ...string) {
@@ -104,7 +111,7 @@
 	for _, it := range items {
 		packed = stream.Append(packed, []byte(it))
 	}
-	a.say(&wire.Data{Key: o.Key, Generation: gen, Offset: off, N: len(items), Packed: packed})
+	a.send(&wire.Data{Key: o.Key, Generation: gen, Offset: off, N: len(items), Packed: packed})
 }
 
 func (a *fakeAgent) final(o *wire.Offer, gen api.GenerationID, items ...string) {
@@ -112,44 +119,47 @@
 	for _, it := range items {
 		b.Append([]byte(it))
 	}
-	a.say(&wire.Final{Key: o.Key, Generation: gen, Count: b.End(), Sum: b.Sum(), Outcome: api.OutcomeCompleted})
+	a.send(&wire.Final{Key: o.Key, Generation: gen, Count: b.End(), Sum: b.Sum(), Outcome: api.OutcomeCompleted})
 }
 
-// fail ends an accepted request of which nothing was sent.
+// fail ends an accepted request without any items, with the given outcome and
+// reason.
 func (a *fakeAgent) fail(o *wire.Offer, outcome api.Outcome, reason api.Reason) {
-	a.say(&wire.Final{Key: o.Key, Sum: stream.NewBuffer(0).Sum(), Outcome: outcome, Reason: reason})
+	a.send(&wire.Final{Key: o.Key, Sum: stream.NewBuffer(0).Sum(), Outcome: outcome, Reason: reason})
 }
 
-// drops counts what the entry did not take, and keeps what it told of targets.
-type drops struct {
+// recorder is an Observer that counts the dropped frames by reason and records the
+// events of targets.
+type recorder struct {
 	noObserver
-	n       map[string]int
+	dropped map[string]int
 	targets []string
 }
 
-func (d *drops) tell(what string, t TargetView) {
-	d.targets = append(d.targets, fmt.Sprintf("%s %d", what, t.Incarnation))
+func (r *recorder) record(what string, t TargetView) {
+	r.targets = append(r.targets, fmt.Sprintf("%s %d", what, t.Incarnation))
 }
 
-func (d *drops) TargetAnnounced(t TargetView) { d.tell("announced", t) }
-func (d *drops) TargetLeaving(t TargetView)   { d.tell("leaving", t) }
-func (d *drops) TargetGone(t TargetView)      { d.tell("gone", t) }
+func (r *recorder) TargetAnnounced(t TargetView) { r.record("announced", t) }
+func (r *recorder) TargetLeaving(t TargetView)   { r.record("leaving", t) }
+func (r *recorder) TargetGone(t TargetView)      { r.record("gone", t) }
 
-func (d *drops) Dropped(why string) { d.n[why]++ }
+func (r *recorder) Dropped(why string) { r.dropped[why]++ }
 
-// bench is an entry between fake agents and a caller.
-type bench struct {
-	c     *qt.C
-	entry *Entry
-	drops *drops
+// harness is an entry whose agents and callers are played by the test.
+type harness struct {
+	c        *qt.C
+	entry    *Entry
+	recorder *recorder
 }
 
-func newBench(t *testing.T) *bench {
-	d := &drops{n: make(map[string]int)}
-	return &bench{c: qt.New(t), drops: d, entry: New(Config{}, newTestPlacer(), Attempts{Max: 3}, d)}
+func newHarness(t *testing.T) *harness {
+	r := &recorder{dropped: make(map[string]int)}
+	return &harness{c: qt.New(t), recorder: r, entry: New(Config{}, newTestPlacer(), Attempts{Max: 3}, r)}
 }
 
-// testPlacer asks every target in the order of its name, without chance.
+// testPlacer is a TablePlacer whose first two candidates are in the order of their
+// IDs, and whose random source has a fixed seed.
 type testPlacer struct{ *TablePlacer }
 
 func newTestPlacer() testPlacer {
@@ -164,30 +174,34 @@
 	return out
 }
 
-func (b *bench) start(r *Request) *Answer {
+// start starts r as request r1 of customer c1.
+func (h *harness) start(r *Request) *Answer {
 	r.ID = "r1"
 	r.Arrived = time.Now()
 	r.Size.Customer = "c1"
 	if r.Service == "" {
 		r.Query.Model = "m"
 	}
-	return b.entry.Start(context.Background(), r)
+	return h.entry.Start(context.Background(), r)
 }
 
-func generation() *Request { return &Request{Repeatable: true} }
+// generationRequest returns a generation, which may be repeated.
+func generationRequest() *Request { return &Request{Repeatable: true} }
 
-func booking() *Request {
+// bookingRequest returns a call of a service that must not be repeated.
+func bookingRequest() *Request {
 	return &Request{Service: "s", Query: routing.Query{Service: "s"}, Method: "POST"}
 }
 
-// told is all that the caller was given.
-type told struct {
+// callerResult is everything that the caller received.
+type callerResult struct {
 	text string
 	end  End
 }
 
-func read(a *Answer) told {
-	var got told
+// readAll reads an answer to its end.
+func readAll(a *Answer) callerResult {
+	var got callerResult
 	for {
 		e := a.Next(time.Hour)
 		switch e.Kind {
@@ -208,12 +222,13 @@
 	}
 }
 
-// accepted is a bench with one generation that its one agent has accepted.
-func accepted(t *testing.T) (*bench, *fakeAgent, *Answer, *wire.Offer) {
-	b := newBench(t)
-	a := b.agent("t1", 1)
-	ans := b.start(generation())
-	o := hear[*wire.Offer](a)
+// startAccepted returns a harness with one agent and a generation that the agent
+// has accepted.
+func startAccepted(t *testing.T) (*harness, *fakeAgent, *Answer, *wire.Offer) {
+	h := newHarness(t)
+	a := h.agent("t1", 1)
+	ans := h.start(generationRequest())
+	o := expect[*wire.Offer](a)
 	a.accept(o)
-	return b, a, ans, o
+	return h, a, ans, o
 }
--- a/node/entry/follow.go
+++ b/node/entry/follow.go
@@ -9,9 +9,10 @@
 	"almondseam.dev/node/wire"
 )
 
-// follow watches an offered request to its end.
-func (e *Entry) follow(ctx context.Context, g *leg) error {
-	f := follower{e: e, g: g}
+// follow waits for the end of a request that was offered to an agent. A nil error
+// means that it completed.
+func (e *Entry) follow(ctx context.Context, d *dispatch) error {
+	f := follower{e: e, d: d}
 	f.deadline = time.NewTimer(e.cfg.Offer)
 	defer f.deadline.Stop()
 	for {
@@ -22,64 +23,72 @@
 	}
 }
 
-// stoppedTimer gives a timer that never fires unless it is reset.
+// stoppedTimer returns a timer that does not fire unless it is reset.
 func stoppedTimer() *time.Timer {
 	t := time.NewTimer(time.Hour)
 	t.Stop()
 	return t
 }
 
-// follower is the state of one leg's driver.
+// follower is the state of the goroutine that drives one dispatch.
 type follower struct {
-	e        *Entry
-	g        *leg
+	e *Entry
+	d *dispatch
+	// accepted is set once the goroutine has processed the agent's Accepted, or if
+	// the dispatch resumes an accepted request.
 	accepted bool
-	// buried is set once a tombstone was sent for an offer without an answer.
-	buried   bool
+	// tombstoneSent is set once a tombstone was sent because the offer got no
+	// answer.
+	tombstoneSent bool
+	// deadline fires when the answer to the offer or the tombstone is overdue.
 	deadline *time.Timer
 }
 
-// step waits for one thing to happen. What the agent has said goes first: a final
-// frame with the link's end right behind it is a whole answer, and must not wait
-// for an agent that is gone.
+// step waits for one event and processes it. It returns true when the dispatch has
+// ended. Messages that have arrived are processed before the loss of the link: if
+// the final frame arrived just before the link closed, the answer is complete and
+// must not wait for an agent that is gone.
 func (f *follower) step(ctx context.Context) (bool, error) {
 	select {
-	case m := <-f.g.news:
-		return f.news(m)
+	case m := <-f.d.received:
+		return f.received(m)
 	default:
 	}
 	select {
-	case m := <-f.g.news:
-		return f.news(m)
-	case <-f.g.link().Done():
+	case m := <-f.d.received:
+		return f.received(m)
+	case <-f.d.currentLink().Done():
 		return f.reattach(ctx)
 	case <-f.deadline.C:
-		return f.overdue()
+		return f.offerTimedOut()
 	case <-ctx.Done():
-		return true, f.leave(ctx)
+		return true, f.cancelWork(ctx)
 	}
 }
 
-func (f *follower) news(m wire.Message) (bool, error) {
+// received processes one message of the agent. It returns true when the dispatch has
+// ended.
+func (f *follower) received(m wire.Message) (bool, error) {
 	switch m := m.(type) {
 	case *wire.Accepted:
 		f.accepted = true
-		f.e.placer.Succeeded(f.g.target)
+		f.e.placer.Succeeded(f.d.target)
 		f.deadline.Stop()
 	case *wire.Refused:
-		err := f.e.fail(f.g, api.StepQueue, api.OutcomeNotRun, m.Reason, textError(m.Detail))
+		err := f.e.newError(f.d, api.StepQueue, api.OutcomeNotRun, m.Reason, textError(m.Detail))
 		err.RetryAfter = m.RetryAfter
 		return true, err
 	case *wire.Tombstoned:
-		return true, f.tombstoned(m)
+		return true, f.tombstonedError(m)
 	case *wire.Returned:
-		return true, f.e.fail(f.g, api.StepRelay, f.lost(), m.Reason, nil)
+		return true, f.e.newError(f.d, api.StepRelay, f.lostOutcome(), m.Reason, nil)
 	case *wire.Final:
 		return f.final(m)
 	}
 	return false, nil
 }
 
+// textError returns an error with text s, or nil if s is empty.
 func textError(s string) error {
 	if s == "" {
 		return nil
@@ -87,113 +96,123 @@
 	return errors.New(s)
 }
 
-// overdue: the agent has not answered the offer. The offer may be held up
-// anywhere; a tombstone settles whether it can still start.
-func (f *follower) overdue() (bool, error) {
-	if f.g.heard.Load() {
+// offerTimedOut is called when the agent has not answered the offer in time. It
+// does nothing if Accepted has arrived and only waits to be processed. The offer
+// may be delayed anywhere on its way, so the first call sends a tombstone, whose
+// answer says whether the request ran or can still start. If that gets no answer in
+// time either, the dispatch ends.
+func (f *follower) offerTimedOut() (bool, error) {
+	if f.d.acceptReceived.Load() {
 		return false, nil
 	}
-	if f.buried {
-		return true, f.e.fail(f.g, api.StepDispatch, f.lost(), api.ReasonTimeout, errors.New("agent answers neither offer nor tombstone"))
+	if f.tombstoneSent {
+		return true, f.e.newError(f.d, api.StepDispatch, f.lostOutcome(), api.ReasonTimeout, errors.New("agent answers neither offer nor tombstone"))
 	}
-	f.buried = true
-	_ = f.g.link().Send(&wire.Tombstone{Key: f.g.key, Incarnation: f.g.inc})
+	f.tombstoneSent = true
+	_ = f.d.currentLink().Send(&wire.Tombstone{Key: f.d.key, Incarnation: f.d.inc})
 	f.deadline.Reset(f.e.cfg.Offer)
 	return false, nil
 }
 
-func (f *follower) tombstoned(m *wire.Tombstoned) error {
+// tombstonedError returns the error for the agent's answer to a tombstone.
+func (f *follower) tombstonedError(m *wire.Tombstoned) error {
 	if m.NotRun {
-		return f.e.fail(f.g, api.StepDispatch, api.OutcomeNotRun, api.ReasonTombstoned, nil)
+		return f.e.newError(f.d, api.StepDispatch, api.OutcomeNotRun, api.ReasonTombstoned, nil)
 	}
-	return f.e.fail(f.g, api.StepDispatch, f.lost(), api.ReasonTimeout, nil)
+	return f.e.newError(f.d, api.StepDispatch, f.lostOutcome(), api.ReasonTimeout, nil)
 }
 
-// final ends the leg. A completed answer is passed on only when every item has
-// arrived and the checksum agrees; missing items are asked for again.
+// final ends the dispatch. A completed answer counts as complete only if every item
+// has arrived and the checksum matches. Missing items are requested again.
 func (f *follower) final(m *wire.Final) (bool, error) {
-	missing, err := f.g.answer.complete(m)
+	missing, err := f.d.answer.complete(m)
 	if missing {
-		f.g.refetch()
+		f.d.requestMissing()
 		return false, nil
 	}
-	_ = f.g.link().Send(&wire.Ack{Key: f.g.key, Offset: m.Count, End: true})
+	_ = f.d.currentLink().Send(&wire.Ack{Key: f.d.key, Offset: m.Count, End: true})
 	if err != nil {
-		return true, f.e.fail(f.g, api.StepRelay, api.OutcomeInterrupted, api.ReasonIntegrity, err)
+		return true, f.e.newError(f.d, api.StepRelay, api.OutcomeInterrupted, api.ReasonIntegrity, err)
 	}
 	if m.Outcome == api.OutcomeCompleted {
 		return true, nil
 	}
-	end := f.e.fail(f.g, api.StepEngine, m.Outcome, m.Reason, textError(m.Detail))
+	end := f.e.newError(f.d, api.StepEngine, m.Outcome, m.Reason, textError(m.Detail))
 	end.RetryAfter = m.RetryAfter
 	return true, end
 }
 
-// lost is the outcome when the agent can no longer be asked.
-func (f *follower) lost() api.Outcome {
-	if f.g.answer.started() {
+// lostOutcome returns the outcome of a request whose end at the agent is not known:
+// interrupted if the caller may have received a part of the answer, otherwise
+// unknown.
+func (f *follower) lostOutcome() api.Outcome {
+	if f.d.answer.started() {
 		return api.OutcomeInterrupted
 	}
 	return api.OutcomeUnknown
 }
 
-// reattach waits for the agent's next link. The same incarnation is asked for
-// the rest; an unanswered offer is sent again, which the agent recognises by
-// its key. Another incarnation knows nothing of the request: the process that
-// had it is gone.
+// reattach waits for the agent to link again. If its incarnation is the same, the
+// dispatch continues on the new link. Another incarnation knows nothing of the
+// request, because the process that had it is gone.
 func (f *follower) reattach(ctx context.Context) (bool, error) {
-	f.g.answer.setPhase(wire.PhaseStalled, 0)
+	f.d.answer.setPhase(wire.PhaseStalled, 0)
 	t := time.NewTimer(f.e.cfg.Relink)
 	defer t.Stop()
 	for {
 		changed := f.e.peers.changed()
-		if p := f.e.peers.get(f.g.target); p != nil {
-			if p.inc != f.g.inc {
-				return true, f.e.fail(f.g, api.StepLink, f.lost(), api.ReasonTargetGone, errors.New("agent has restarted"))
+		if p := f.e.peers.get(f.d.target); p != nil {
+			if p.inc != f.d.inc {
+				return true, f.e.newError(f.d, api.StepLink, f.lostOutcome(), api.ReasonTargetGone, errors.New("agent has restarted"))
 			}
 			return f.resume(p)
 		}
 		select {
 		case <-changed:
 		case <-t.C:
-			return true, f.e.fail(f.g, api.StepLink, f.lost(), api.ReasonLinkLost, errors.New("agent did not come back"))
+			return true, f.e.newError(f.d, api.StepLink, f.lostOutcome(), api.ReasonLinkLost, errors.New("agent did not come back"))
 		case <-ctx.Done():
-			return true, f.leave(ctx)
+			return true, f.cancelWork(ctx)
 		}
 	}
 }
 
+// resume continues the dispatch on the agent's new link. It requests the rest of an
+// accepted request. Otherwise it sends the offer or the tombstone again; the agent
+// recognises a repeated offer by its key.
 func (f *follower) resume(p *peer) (bool, error) {
-	f.g.relink(p.to)
-	if f.accepted || f.g.heard.Load() {
-		_ = p.to.Send(f.g.resume())
-		f.g.answer.setPhase(wire.PhaseStarted, 0)
+	f.d.relink(p.link)
+	if f.accepted || f.d.acceptReceived.Load() {
+		_ = p.link.Send(f.d.resume())
+		f.d.answer.setPhase(wire.PhaseStarted, 0)
 		return false, nil
 	}
-	if f.buried {
-		_ = p.to.Send(&wire.Tombstone{Key: f.g.key, Incarnation: f.g.inc})
+	if f.tombstoneSent {
+		_ = p.link.Send(&wire.Tombstone{Key: f.d.key, Incarnation: f.d.inc})
 	} else {
-		_ = p.to.Send(f.e.offer(f.g.req, f.g))
+		_ = p.link.Send(f.e.offer(f.d.req, f.d))
 	}
 	f.deadline.Reset(f.e.cfg.Offer)
 	return false, nil
 }
 
-// stopHold leaves requests running when this entry is stopped hard: their
-// callers may come back through another one, as after a crash.
-const stopHold = 30 * time.Second
-
-// leave tells the agent that the caller has gone. What the request's outcome
-// was is not proved any more.
-func (f *follower) leave(ctx context.Context) error {
-	m := &wire.Cancel{Key: f.g.key, Hold: stopHold}
-	var held callerHeld
+// shutdownHold is how long agents keep requests running after this entry was
+// stopped without draining. Their callers may come back through another entry, as
+// after a crash.
+const shutdownHold = 30 * time.Second
+
+// cancelWork tells the agent that the caller has gone, and returns the error that
+// ends the dispatch. It does not wait for the agent, so the outcome of the request
+// is not proved.
+func (f *follower) cancelWork(ctx context.Context) error {
+	m := &wire.Cancel{Key: f.d.key, Hold: shutdownHold}
+	var detached callerDetached
 	switch cause := context.Cause(ctx); {
-	case errors.As(cause, &held):
-		m.Hold = held.hold
+	case errors.As(cause, &detached):
+		m.Hold = detached.hold
 	case errors.Is(cause, errCallerGone):
 		m.Hold = 0
 	}
-	_ = f.g.link().Send(m)
-	return f.e.fail(f.g, api.StepDeliver, f.lost(), api.ReasonCancelled, context.Cause(ctx))
+	_ = f.d.currentLink().Send(m)
+	return f.e.newError(f.d, api.StepDeliver, f.lostOutcome(), api.ReasonCancelled, context.Cause(ctx))
 }
--- a/node/entry/limits.go
+++ b/node/entry/limits.go
@@ -14,46 +14,52 @@
 	"almondseam.dev/node/wire"
 )
 
-// LimitPeers sends to other entries. Send doesn't block; a message may be lost.
-// It is called from several goroutines.
+// LimitPeers sends messages to other entries. Send does not block, and a message
+// may be lost. Send is called from several goroutines.
 type LimitPeers interface {
 	Send(to api.InstanceID, m wire.Message)
 }
 
-// RosterSource tells which entries share the limits. Roster is called from one
-// goroutine and doesn't block; confirmed is when the source last asked whether
-// the roster is in force and learned that it is. An empty roster is not known.
+// RosterSource returns the entries that share the limits. Roster is called from one
+// goroutine and does not block. confirmed is the time at which the source last
+// asked whether the roster is in force and learned that it is. An empty roster
+// means that it is not known.
 type RosterSource interface {
 	Roster() (r limit.Roster, confirmed time.Time)
 }
 
-// LimitsConfig sets Limits. Zero values take defaults.
+// LimitsConfig configures Limits. A zero Timing or Clock takes its default.
 type LimitsConfig struct {
 	Self api.InstanceID
-	// Incarnation grows with each start of the process.
+	// Incarnation increases with each start of the process.
 	Incarnation api.Incarnation
 	Live        *fleetconfig.Live
 	Roster      RosterSource
-	// Peers may be nil where the roster has this entry alone.
+	// Peers may be nil if the roster contains only this entry.
 	Peers  LimitPeers
 	Timing limit.Timing
 	Clock  func() time.Time
 }
 
 const (
-	// firstLease is how long the first request of a customer waits here for a
-	// lease: a refusal would come sooner but be wrong.
-	firstLease = 100 * time.Millisecond
-	// soonest bounds how often waiting customers make this entry ask; refusals
-	// do so once in an eighth of the time between renewals.
-	soonest         = 20 * time.Millisecond
-	refusalsInRenew = 8
-	// outputWeight is the weight of the latest answer in the mean output.
+	// firstLeaseTimeout is how long a customer's first request at this entry waits
+	// for a lease. Without the wait it would be refused at once, although the
+	// customer may be within its limit.
+	firstLeaseTimeout = 100 * time.Millisecond
+	// wakeDelay is the delay between the wake-up of Run by a request and the round
+	// that follows; it limits how often requests that wait for a lease cause a
+	// round. Refusals cause at most earlyRoundsPerRenew rounds between two
+	// renewals.
+	wakeDelay           = 20 * time.Millisecond
+	earlyRoundsPerRenew = 8
+	// outputWeight is the weight of the latest answer in the moving average of the
+	// output.
 	outputWeight = 0.1
 )
 
-// Limits holds customers to their limits over all entries: it answers requests
-// from the shares held here and carries the messages of core/limit.
+// Limits enforces the customers' limits across all entries: it admits requests from
+// the shares that this entry holds, and exchanges the messages of core/limit with
+// the other entries.
 type Limits struct {
 	cfg     LimitsConfig
 	holder  *limit.Holder
@@ -61,14 +67,16 @@
 	applied atomic.Pointer[fleetconfig.Snapshot]
 	outputs sync.Map // api.CustomerID to *meanOutput
 	wake    chan struct{}
-	// woken is when a refusal last made this entry ask early, in nanoseconds.
-	woken atomic.Int64
+	// lastEarlyRound is when a refusal last caused an early round, in Unix
+	// nanoseconds.
+	lastEarlyRound atomic.Int64
 
 	mu      sync.Mutex
-	granted chan struct{} // closed and replaced when leases have come
+	granted chan struct{} // closed and replaced when a grant has been applied
 }
 
-// NewLimits makes the limits of one entry; Run keeps them going.
+// NewLimits returns the limits of one entry. Run must be called to obtain and grant
+// leases.
 func NewLimits(cfg LimitsConfig) *Limits {
 	if cfg.Timing == (limit.Timing{}) {
 		cfg.Timing = limit.DefaultTiming
@@ -85,7 +93,7 @@
 	}
 }
 
-// Run asks for leases, and grants them, until ctx is done.
+// Run requests and grants leases until ctx is done.
 func (l *Limits) Run(ctx context.Context) {
 	tick := time.NewTicker(l.cfg.Timing.Renew)
 	defer tick.Stop()
@@ -96,14 +104,16 @@
 			return
 		case <-tick.C:
 		case <-l.wake:
-			if !sleep(ctx, soonest) {
+			if !sleep(ctx, wakeDelay) {
 				return
 			}
 		}
 	}
 }
 
-// round is one exchange with the owners.
+// round applies the current configuration and roster and sends requests to the
+// owners of the customers' limits. A request to this entry itself is granted
+// directly.
 func (l *Limits) round() {
 	now := l.cfg.Clock()
 	l.refresh(now)
@@ -117,7 +127,7 @@
 			continue
 		}
 		if g, ok := l.grantor.Step(req, now); ok {
-			l.take(g, now)
+			l.applyGrant(g, now)
 		}
 	}
 	l.grantor.Tick(now)
@@ -129,8 +139,8 @@
 	}
 }
 
-// Handle takes one message of another entry; false when it isn't about limits.
-// It may be called from several goroutines.
+// Handle processes a message of another entry. It returns false if the message is
+// not about limits. It is safe for concurrent use.
 func (l *Limits) Handle(m wire.Message) bool {
 	now := l.cfg.Clock()
 	switch m := m.(type) {
@@ -139,14 +149,15 @@
 			l.send(g.Holder, wire.NewLimitGrant(g))
 		}
 	case *wire.LimitGrant:
-		l.take(m.Grant(), now)
+		l.applyGrant(m.Grant(), now)
 	default:
 		return false
 	}
 	return true
 }
 
-func (l *Limits) take(g limit.Grant, now time.Time) {
+// applyGrant applies a grant and wakes the requests that wait for a lease.
+func (l *Limits) applyGrant(g limit.Grant, now time.Time) {
 	l.holder.Step(g, now)
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -154,7 +165,7 @@
 	l.granted = make(chan struct{})
 }
 
-// refresh puts the limits of the configuration in force.
+// refresh applies the limits of the configuration in force if they have changed.
 func (l *Limits) refresh(now time.Time) {
 	conf := l.cfg.Live.Load()
 	if conf == nil || l.applied.Load() == conf {
@@ -178,21 +189,22 @@
 	l.applied.Store(conf)
 }
 
-// Acquire starts a request of a customer with a prompt of so many tokens, or
-// says why not. What the answer will cost is estimated from earlier answers;
-// settle is called once with the tokens used, zero when it
-// did not run. Only a customer that has no lease
-// here yet waits for another process, for at most firstLease.
+// Acquire admits a request of a customer, with a prompt of the given number of
+// tokens, or returns the reason why not. The cost of the answer is estimated from
+// the customer's earlier answers. The caller must call settle once, with the number
+// of tokens used, or zero if the request did not run. Acquire waits for another
+// entry, for at most firstLeaseTimeout, only if the customer has no lease at this
+// entry yet.
 func (l *Limits) Acquire(c *fleetconfig.Customer, prompt int, now time.Time) (settle func(used int), err *api.Error) {
 	l.refresh(now)
-	out := l.output(c.ID)
+	out := l.meanOutputOf(c.ID)
 	est := int64(prompt) + out.mean()
 	p, err := l.holder.Acquire(c.ID, est, now)
 	if err != nil && errors.Is(err, limit.ErrNoLease) {
 		p, err = l.acquireFirst(c.ID, est)
 	}
 	if err != nil {
-		l.refused(now)
+		l.onRefusal(now)
 		return nil, err
 	}
 	return func(used int) {
@@ -203,17 +215,17 @@
 	}, nil
 }
 
-// acquireFirst asks for a lease and waits for it a little.
+// acquireFirst requests a lease and waits for it, for at most firstLeaseTimeout.
 func (l *Limits) acquireFirst(c api.CustomerID, est int64) (*limit.Permit, *api.Error) {
-	t := time.NewTimer(firstLease)
+	t := time.NewTimer(firstLeaseTimeout)
 	defer t.Stop()
 	for {
-		granted := l.nextGrant()
+		granted := l.grantSignal()
 		p, err := l.holder.Acquire(c, est, l.cfg.Clock())
 		if err == nil || !errors.Is(err, limit.ErrNoLease) {
 			return p, err
 		}
-		l.ask()
+		l.requestRound()
 		select {
 		case <-granted:
 		case <-t.C:
@@ -222,32 +234,36 @@
 	}
 }
 
-// ask makes Run ask the owners now.
-func (l *Limits) ask() {
+// requestRound makes Run start a round early.
+func (l *Limits) requestRound() {
 	select {
 	case l.wake <- struct{}{}:
 	default:
 	}
 }
 
-// refused asks early for a larger share: another entry may have it to spare.
-func (l *Limits) refused(now time.Time) {
-	last := l.woken.Load()
-	if now.UnixNano()-last < int64(l.cfg.Timing.Renew/refusalsInRenew) {
+// onRefusal requests an early round after a refusal, because another entry may be
+// able to give up a part of its share. It does so at most earlyRoundsPerRenew times
+// per renewal interval.
+func (l *Limits) onRefusal(now time.Time) {
+	last := l.lastEarlyRound.Load()
+	if now.UnixNano()-last < int64(l.cfg.Timing.Renew/earlyRoundsPerRenew) {
 		return
 	}
-	if l.woken.CompareAndSwap(last, now.UnixNano()) {
-		l.ask()
+	if l.lastEarlyRound.CompareAndSwap(last, now.UnixNano()) {
+		l.requestRound()
 	}
 }
 
-func (l *Limits) nextGrant() <-chan struct{} {
+// grantSignal returns a channel that is closed when the next grant has been
+// applied.
+func (l *Limits) grantSignal() <-chan struct{} {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.granted
 }
 
-func (l *Limits) output(c api.CustomerID) *meanOutput {
+func (l *Limits) meanOutputOf(c api.CustomerID) *meanOutput {
 	if v, ok := l.outputs.Load(c); ok {
 		return v.(*meanOutput)
 	}
@@ -255,8 +271,9 @@
 	return v.(*meanOutput)
 }
 
-// meanOutput is the mean output of a customer's answers, in tokens. Two writers
-// that race may lose one answer, which a mean can bear.
+// meanOutput is the moving average of the output of a customer's answers, in
+// tokens. One of two concurrent updates may be lost, which changes the average
+// little.
 type meanOutput struct{ bits atomic.Uint64 }
 
 func (m *meanOutput) mean() int64 { return int64(math.Float64frombits(m.bits.Load())) }
@@ -266,8 +283,8 @@
 	m.bits.Store(math.Float64bits(old + outputWeight*(float64(max(0, tokens))-old)))
 }
 
-// FixedRoster is a roster that the settings give: it never changes while the
-// entries run, so it is in force whenever it is asked for.
+// FixedRoster is a roster taken from the settings. It never changes while the
+// entries run, so it is confirmed at the time of each call.
 type FixedRoster struct {
 	Entries []api.InstanceID
 	Clock   func() time.Time
--- a/node/entry/limits_test.go
+++ b/node/entry/limits_test.go
@@ -15,7 +15,8 @@
 	qt "github.com/frankban/quicktest"
 )
 
-// network carries messages between the limits of entries, unless it is cut.
+// network delivers messages between the Limits of several entries, unless it is
+// cut.
 type network struct {
 	mu  sync.Mutex
 	to  map[api.InstanceID]*Limits
@@ -43,8 +44,9 @@
   - {id: c1, keys: [%q], max_concurrent: 20, tokens_per_second: 1000/s, burst_tokens: 2000}
 `
 
-// sharing starts two entries that share limits.
-func sharing(c *qt.C) (net *network, entries []*Limits, cust *fleetconfig.Customer, stop func()) {
+// startSharing starts the Limits of two entries that share the limits of one
+// customer.
+func startSharing(c *qt.C) (net *network, entries []*Limits, cust *fleetconfig.Customer, stop func()) {
 	f, err := fleetconfig.Parse(fleetconfig.File{Name: "test.yaml", Data: fmt.Appendf(nil, limitsConfig, fleetconfig.KeySum("key"))})
 	c.Assert(err, qt.IsNil)
 	live := &fleetconfig.Live{}
@@ -64,8 +66,9 @@
 	return net, entries, cust, cancel
 }
 
-// fill starts requests until one is refused, and gives their number.
-func fill(l *Limits, cust *fleetconfig.Customer) (n int, last *api.Error) {
+// acquireUntilRefused acquires requests until one is refused. It returns how many
+// were admitted, and the refusal.
+func acquireUntilRefused(l *Limits, cust *fleetconfig.Customer) (n int, last *api.Error) {
 	for ; ; n++ {
 		if _, err := l.Acquire(cust, 0, time.Now()); err != nil {
 			return n, err
@@ -73,19 +76,20 @@
 	}
 }
 
-// Callers press on both entries. The first request of each waits for a lease
-// instead of being refused; together they stay within the limit and its slack,
-// also while the entries don't hear each other.
+// A customer sends more requests to two entries than its limit allows. The first
+// request at each entry must wait for a lease instead of being refused. Together,
+// the entries must stay within the limit plus its slack, even while the network
+// between them is cut.
 func TestEntriesShareALimit(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := qt.New(t)
-		net, entries, cust, stop := sharing(c)
+		net, entries, cust, stop := startSharing(c)
 		defer stop()
 		synctest.Wait()
 		time.Sleep(time.Second)
 		total := 0
 		for _, l := range entries {
-			n, err := fill(l, cust)
+			n, err := acquireUntilRefused(l, cust)
 			c.Assert(n > 0, qt.IsTrue)
 			c.Assert(err.Reason, qt.Equals, api.ReasonConcurrencyLimit)
 			c.Assert(err.RetryAfter > 0, qt.IsTrue)
@@ -95,7 +99,7 @@
 			net.setCut(i >= 20 && i < 40)
 			time.Sleep(time.Second)
 			for _, l := range entries {
-				n, _ := fill(l, cust)
+				n, _ := acquireUntilRefused(l, cust)
 				total += n
 			}
 			c.Assert(total <= 22, qt.IsTrue, qt.Commentf("after %d s: %d under way of 20", i, total))
@@ -104,12 +108,13 @@
 	})
 }
 
-// Tokens are charged by estimate and settled: the mean output of earlier
-// answers is part of the next estimate, and a refusal tells when it will fit.
+// Tokens are charged by estimate and corrected when the request is settled. The
+// mean output of earlier answers must be part of the next estimate, and a refusal
+// must state when to retry.
 func TestTokensAreEstimatedAndSettled(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := qt.New(t)
-		_, entries, cust, stop := sharing(c)
+		_, entries, cust, stop := startSharing(c)
 		defer stop()
 		synctest.Wait()
 		time.Sleep(time.Second)
@@ -120,7 +125,7 @@
 			settle(110)
 			time.Sleep(2 * time.Second)
 		}
-		got := l.output("c1").mean()
+		got := l.meanOutputOf("c1").mean()
 		c.Assert(got > 90 && got <= 100, qt.IsTrue, qt.Commentf("mean output %d", got))
 		_, err := l.Acquire(cust, 1<<20, time.Now())
 		c.Assert(err == nil, qt.IsTrue)
--- a/node/entry/orders.go
+++ b/node/entry/orders.go
@@ -9,31 +9,34 @@
 	"almondseam.dev/node/wire"
 )
 
-// Orderer is the road to the control group for orders; control.Client is one.
-// It is called from several goroutines and retries within its context.
+// Orderer sends order commands to the control group; control.Client implements it.
+// Order is called from several goroutines and retries within its context.
 type Orderer interface {
 	Order(ctx context.Context, cmd order.Command) (order.Order, error)
 }
 
-// Bounds of the talk with control about one order.
+// orderTimeout is the maximum time for one command to the control group, and
+// maxOrderRetryDelay the maximum delay before an order is requested again.
 const (
-	orderWithin   = 10 * time.Second
-	orderPauseMax = 30 * time.Second
+	orderTimeout       = 10 * time.Second
+	maxOrderRetryDelay = 30 * time.Second
 )
 
-// SetOrderer gives the road to control; orders are fetched until ctx is done.
-// Call it before the first link. Whoever stops the entry ends ctx first: a load
-// that is paced is asked for again and again, and Wait would wait for it.
+// SetOrderer sets how the entry reaches the control group and the lease that agents
+// get for an order. Orders are fetched until ctx is done. SetOrderer must be called
+// before the first link. To stop the entry, cancel ctx before calling Wait: while
+// the control group delays a model load to limit the load rate, the entry keeps
+// asking for the order, and Wait would wait for that.
 func (e *Entry) SetOrderer(ctx context.Context, o Orderer, lease time.Duration) {
-	e.fetching = ctx
+	e.orderCtx = ctx
 	e.orderer = o
 	e.lease = lease
 }
 
-// SetOrders takes the targets that have an order waiting and none in flight.
-// For each that is linked here the order is fetched and handed to its agent.
-// Every entry that is linked to the agent does so; all get the same order, and
-// the agent takes it once.
+// SetOrders sets the targets that have an order waiting and none in flight. For
+// each of them that is linked here, the entry fetches the order and sends it to the
+// agent. All entries linked to the agent do so; they all get the same order, and
+// the agent accepts it once.
 func (e *Entry) SetOrders(ready []api.TargetID) {
 	set := make(map[api.TargetID]bool, len(ready))
 	for _, id := range ready {
@@ -42,26 +45,28 @@
 	e.ready.Store(&set)
 	for _, id := range ready {
 		if p := e.peers.get(id); p != nil {
-			e.work.Go(func() { e.fetchOrder(e.fetching, p) })
+			e.work.Go(func() { e.fetchOrder(e.orderCtx, p) })
 		}
 	}
 }
 
-// orderReady tells whether an order waits for the target.
+// orderReady reports whether an order is waiting for the target.
 func (e *Entry) orderReady(id api.TargetID) bool {
 	set := e.ready.Load()
 	return set != nil && (*set)[id]
 }
 
-// fetchOrder takes the order for an agent, again and again while loads are paced.
-// The agent's clock is read before control is asked, so that the agent's count
-// of the lease ends before control's.
+// fetchOrder requests the waiting order for an agent and sends it on. It tries
+// again after each refusal that comes with a RetryAfter, as when the control group
+// limits the rate of model loads. The agent's clock reading is taken before the
+// request, so that the lease ends earlier by the agent's clock than at the control
+// group.
 func (e *Entry) fetchOrder(ctx context.Context, p *peer) {
 	for e.orderReady(p.target) && e.peers.get(p.target) == p && ctx.Err() == nil {
 		echo := time.Duration(p.clock.Load())
 		o, err := e.order(ctx, order.Command{Op: order.OpTake, Target: p.target, Incarnation: p.inc})
 		if err == nil {
-			_ = p.to.Send(&wire.Order{Order: o, Lease: e.lease, Echo: echo})
+			_ = p.link.Send(&wire.Order{Order: o, Lease: e.lease, Echo: echo})
 			return
 		}
 		wait := api.AsError(err).RetryAfter
@@ -70,21 +75,22 @@
 		}
 		select {
 		case <-ctx.Done():
-		case <-time.After(min(wait, orderPauseMax)):
+		case <-time.After(min(wait, maxOrderRetryDelay)):
 		}
 	}
 }
 
 func (e *Entry) order(ctx context.Context, cmd order.Command) (order.Order, error) {
-	ctx, cancel := context.WithTimeout(ctx, orderWithin)
+	ctx, cancel := context.WithTimeout(ctx, orderTimeout)
 	defer cancel()
 	return e.orderer.Order(ctx, cmd)
 }
 
-// onOrderState passes on how an order stands. A renewal goes back to the agent
-// with the clock reading from before it was asked for.
-func (t *AgentLink) onOrderState(m *wire.OrderState) {
-	p, e := t.self, t.e
+// onOrderState forwards the state of an order to the control group. If that renews
+// the lease, the entry sends the order to the agent again, with the clock reading
+// from before the renewal was requested.
+func (l *AgentLink) onOrderState(m *wire.OrderState) {
+	p, e := l.agent, l.e
 	if p == nil || e.orderer == nil {
 		return
 	}
@@ -96,7 +102,7 @@
 	e.work.Go(func() {
 		o, err := e.order(context.Background(), cmd)
 		if err == nil && !m.Ended {
-			_ = p.to.Send(&wire.Order{Order: o, Lease: e.lease, Echo: echo})
+			_ = p.link.Send(&wire.Order{Order: o, Lease: e.lease, Echo: echo})
 		}
 	})
 }
--- a/node/entry/pace.go
+++ b/node/entry/pace.go
@@ -7,45 +7,49 @@
 )
 
 // Load reports cost the entry bytes and time for each linked target. With a fixed
-// interval a large fleet's reports would pass the budget of the whole node, and a
-// small one's would be staler than need be. The receiver knows how many targets
-// report to it, so it sets the pace: all reports together stay within
-// reportBytes a second.
+// interval, the reports of a large fleet would exceed the budget of the whole node,
+// and those of a small fleet would be older than necessary. The entry knows how
+// many targets report to it and therefore sets the interval, between minPace and
+// maxPace, so that all reports together stay within about reportBytesPerSecond.
 const (
-	// reportBytes is the share of a node's 5 KB a second for load reports.
-	reportBytes = 2 << 10
-	// reportSize is the size of one report with its framing, measured by
+	// reportBytesPerSecond is the share of a node's budget of 5 KB per second that
+	// load reports may use.
+	reportBytesPerSecond = 2 << 10
+	// reportSize is the size in bytes of one report with its framing, measured by
 	// bench/slopes.
 	reportSize = 40
 	minPace    = 250 * time.Millisecond
 	maxPace    = 30 * time.Second
-	// paceChange is the least change, as a ratio, that agents are told of: a
-	// link more or less must not set off a message to every agent.
-	paceChange = 1.5
+	// minPaceRatio is the ratio of two intervals up to which a change is not sent
+	// to the agents, so that a single link more or less does not cause a message to
+	// every agent.
+	minPaceRatio = 1.5
 )
 
-// paceFor gives the interval of load reports for a number of linked targets.
-func paceFor(links int) time.Duration {
-	every := time.Duration(links) * time.Second * reportSize / reportBytes
+// reportInterval returns the interval of load reports for a number of linked
+// targets.
+func reportInterval(links int) time.Duration {
+	every := time.Duration(links) * time.Second * reportSize / reportBytesPerSecond
 	return min(max(every, minPace), maxPace)
 }
 
-// repace tells the agents a new pace if it has changed by enough. The new link is
-// told in any case.
-func (e *Entry) repace(fresh sender) {
-	want := paceFor(len(e.peers.all()))
-	told := time.Duration(e.pace.Load())
-	changed := float64(want) > float64(told)*paceChange || float64(want)*paceChange < float64(told)
+// updatePace sends the agents a new interval if it has changed by more than
+// minPaceRatio. Otherwise it sends the current one to newLink, unless newLink is
+// nil.
+func (e *Entry) updatePace(newLink sender) {
+	interval := reportInterval(len(e.peers.all()))
+	current := time.Duration(e.pace.Load())
+	changed := float64(interval) > float64(current)*minPaceRatio || float64(interval)*minPaceRatio < float64(current)
 	if !changed {
-		if fresh != nil {
-			_ = fresh.Send(&wire.Pace{Every: max(told, minPace)})
+		if newLink != nil {
+			_ = newLink.Send(&wire.Pace{Every: max(current, minPace)})
 		}
 		return
 	}
-	if !e.pace.CompareAndSwap(int64(told), int64(want)) {
-		return // another link's reader is telling all of them
+	if !e.pace.CompareAndSwap(int64(current), int64(interval)) {
+		return // another goroutine is sending an interval to all agents
 	}
 	for _, p := range e.peers.all() {
-		_ = p.to.Send(&wire.Pace{Every: want})
+		_ = p.link.Send(&wire.Pace{Every: interval})
 	}
 }
--- a/node/entry/pace_test.go
+++ b/node/entry/pace_test.go
@@ -9,20 +9,21 @@
 	qt "github.com/frankban/quicktest"
 )
 
-// Targets announce themselves until there are 400. The reports of all of them
-// together must stay within the entry's share at every size, and the first agent
-// is told a handful of times, not once for each that follows.
+// 400 targets link one after another. At every number of targets, their load
+// reports together must stay within the entry's budget for them, and the first
+// agent must be sent fewer than 12 intervals, not one for each target that links
+// later.
 func TestPaceKeepsReportsWithinTheirShare(t *testing.T) {
-	b := newBench(t)
-	first := b.agent("t0", 1)
+	h := newHarness(t)
+	first := h.agent("t0", 1)
 	for i := 1; i < 400; i++ {
-		b.agent(api.TargetID(fmt.Sprintf("t%d", i)), 1)
+		h.agent(api.TargetID(fmt.Sprintf("t%d", i)), 1)
 		every := first.link.paces[len(first.link.paces)-1]
 		bytes := float64((i+1)*reportSize) / every.Seconds()
-		b.c.Assert(bytes <= reportBytes*paceChange || every == maxPace, qt.IsTrue, qt.Commentf("%d links: %.0f bytes a second", i+1, bytes))
+		h.c.Assert(bytes <= reportBytesPerSecond*minPaceRatio || every == maxPace, qt.IsTrue, qt.Commentf("%d links: %.0f bytes a second", i+1, bytes))
 	}
-	b.c.Assert(len(first.link.paces) < 12, qt.IsTrue, qt.Commentf("%v", first.link.paces))
-	b.c.Assert(paceFor(1), qt.Equals, minPace)
-	b.c.Assert(paceFor(100_000), qt.Equals, maxPace)
-	b.c.Assert(paceFor(512), qt.Equals, 10*time.Second)
+	h.c.Assert(len(first.link.paces) < 12, qt.IsTrue, qt.Commentf("%v", first.link.paces))
+	h.c.Assert(reportInterval(1), qt.Equals, minPace)
+	h.c.Assert(reportInterval(100_000), qt.Equals, maxPace)
+	h.c.Assert(reportInterval(512), qt.Equals, 10*time.Second)
 }
--- a/node/entry/peers.go
+++ b/node/entry/peers.go
@@ -8,7 +8,7 @@
 	"almondseam.dev/node/wire"
 )
 
-// sender is the end of a link that an entry writes to.
+// sender is a link that the entry sends on. Done is closed when the link has ended.
 type sender interface {
 	Send(m wire.Message) error
 	Done() <-chan struct{}
@@ -18,14 +18,16 @@
 type peer struct {
 	target api.TargetID
 	inc    api.Incarnation
-	to     sender
+	link   sender
 	zone   api.Zone
-	links  int // entries that the agent wants to link to
-	// told is the list of entries that the agent was last told.
-	told atomic.Pointer[[]wire.EntryInfo]
-	// leaving and clock are from the newest announcement or report.
+	links  int // number of entries that the agent wants to link to; 0 for all
+	// sentEntries is the list of entries last sent to the agent; nil before the
+	// first.
+	sentEntries atomic.Pointer[[]wire.EntryInfo]
+	// leaving is taken from the latest announcement.
 	leaving atomic.Bool
-	// clock is the newest reading of the agent's monotonic clock.
+	// clock is the latest reading of the agent's monotonic clock, from an
+	// announcement or a load report.
 	clock atomic.Int64
 }
 
@@ -33,13 +35,14 @@
 	return TargetView{Target: p.target, Incarnation: p.inc, Zone: p.zone, Leaving: p.leaving.Load()}
 }
 
-// peers is the table of linked agents: read without a lock, copied on change,
-// which happens when a link comes or goes. waiters learn of changes.
+// peers is the table of linked agents. It is read without a lock and copied on each
+// change, that is, when an agent announces itself on a new link or a link closes.
+// changed lets a request wait for the next change.
 type peers struct {
 	table atomic.Pointer[map[api.TargetID]*peer]
 
 	mu     sync.Mutex
-	change chan struct{} // closed and replaced at each change
+	change chan struct{} // closed and replaced on each change
 }
 
 func newPeers() *peers {
@@ -50,10 +53,10 @@
 
 func (p *peers) get(id api.TargetID) *peer { return (*p.table.Load())[id] }
 
-// all gives the present table; it must not be changed.
+// all returns the current table, which must not be modified.
 func (p *peers) all() map[api.TargetID]*peer { return *p.table.Load() }
 
-// put replaces a target's link. It gives the one before, or nil.
+// put sets the link of n's target. It returns the peer that it replaced, or nil.
 func (p *peers) put(n *peer) *peer {
 	var old *peer
 	p.update(func(m map[api.TargetID]*peer) {
@@ -63,11 +66,12 @@
 	return old
 }
 
-// drop forgets a target's link if it still is to; it tells whether it was.
-func (p *peers) drop(id api.TargetID, to sender) bool {
+// removeLink removes a target if its current link is still the given one, and
+// reports whether it did.
+func (p *peers) removeLink(id api.TargetID, link sender) bool {
 	dropped := false
 	p.update(func(m map[api.TargetID]*peer) {
-		if cur := m[id]; cur != nil && cur.to == to {
+		if cur := m[id]; cur != nil && cur.link == link {
 			delete(m, id)
 			dropped = true
 		}
@@ -89,7 +93,7 @@
 	p.change = make(chan struct{})
 }
 
-// changed gives a channel that is closed at the next change.
+// changed returns a channel that is closed on the next change of the table.
 func (p *peers) changed() <-chan struct{} {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/node/entry/placer.go
+++ b/node/entry/placer.go
@@ -9,7 +9,7 @@
 	"almondseam.dev/core/routing"
 )
 
-// TablePlacer is the Placer over core/routing.
+// TablePlacer is the Placer that uses core/routing.
 type TablePlacer struct {
 	*routing.Table
 	router *routing.Router
@@ -19,7 +19,7 @@
 
 var _ Placer = (*TablePlacer)(nil)
 
-// NewTablePlacer makes a placer with an empty view.
+// NewTablePlacer returns a placer that knows no targets.
 func NewTablePlacer(o routing.Options) *TablePlacer {
 	t := routing.NewTable()
 	return &TablePlacer{
--- a/node/entry/policy.go
+++ b/node/entry/policy.go
@@ -8,8 +8,9 @@
 	"almondseam.dev/core/routing"
 )
 
-// policyFollower applies the policy of the configuration in force before it is used.
-// The usual case costs two atomic loads. The zero value follows nothing.
+// policyFollower applies the policy of the configuration in force before each use.
+// If the configuration has not changed, this costs two atomic loads. The zero value
+// follows no configuration.
 type policyFollower struct {
 	live    *fleetconfig.Live
 	apply   func(*fleetconfig.Policy)
@@ -17,9 +18,9 @@
 	mu      sync.Mutex
 }
 
-// refresh applies a configuration that has come since the last call. The
-// snapshot is loaded again under the lock: a goroutine that waited there with an
-// older one would otherwise put that in force last.
+// refresh applies a configuration that came into force since the last call. It
+// loads the snapshot again under the lock: otherwise a goroutine that waited for
+// the lock with an older snapshot would apply that one last.
 func (f *policyFollower) refresh() {
 	if f.live == nil || f.live.Load() == f.applied.Load() {
 		return
@@ -34,18 +35,21 @@
 	f.applied.Store(conf)
 }
 
-// Follow makes the choices go by the policy in force. Call it before use.
+// Follow makes Choose use the routing policy that is in force in live. It must be
+// called before the placer is used.
 func (p *TablePlacer) Follow(live *fleetconfig.Live) {
 	p.policy.live = live
 	p.policy.apply = func(c *fleetconfig.Policy) { p.router.Set(routingOptions(c)) }
 }
 
-// Follow makes the decisions go by the policy in force. Call it before use.
+// Follow makes the retry decisions use the policy that is in force in live. It must
+// be called before r is used.
 func (r *Retries) Follow(live *fleetconfig.Live) {
 	r.policy.live = live
 	r.policy.apply = func(c *fleetconfig.Policy) { r.Policy.Set(c.RetryAttempts, c.RetryBudget) }
 }
 
+// routingOptions returns the routing options that a policy stands for.
 func routingOptions(c *fleetconfig.Policy) routing.Options {
 	o := routing.Options{
 		Ask:      c.BidFanOut,
@@ -53,8 +57,8 @@
 		AnyZone:  !c.PreferZone,
 		ZoneWait: c.ZoneSlack,
 	}
-	// The standard samples hold no more targets than two bids need; a wider
-	// fan-out that drew from them would often ask fewer than it says.
+	// The default samples are sized for a fan-out of two. A larger fan-out that
+	// drew from them would often ask fewer targets than configured.
 	if c.BidFanOut > 2 {
 		o.Local, o.Foreign = 2*c.BidFanOut, c.BidFanOut
 	}
--- a/node/entry/policy_test.go
+++ b/node/entry/policy_test.go
@@ -12,28 +12,29 @@
 	qt "github.com/frankban/quicktest"
 )
 
-type uncounted struct{}
+// nopMeter is a retry.Meter that counts nothing.
+type nopMeter struct{}
 
-func (uncounted) Retried(api.Reason)  {}
-func (uncounted) Denied(retry.Denial) {}
+func (nopMeter) Retried(api.Reason)  {}
+func (nopMeter) Denied(retry.Denial) {}
 
-// publish puts a configuration with a policy in force.
+// publish puts a configuration with the given policy in force.
 func publish(c *qt.C, live *fleetconfig.Live, rev api.Revision, policy string) {
 	f, err := fleetconfig.Parse(fleetconfig.File{Name: "test.yaml", Data: fmt.Appendf(nil, "name: t\nsites: [{id: s, region: r, zones: [a, b]}]\npolicy: {%s}\n", policy)})
 	c.Assert(err, qt.IsNil)
 	c.Assert(live.Publish(fleetconfig.Compile(f).At(rev, "s")), qt.IsTrue)
 }
 
-// An operator changes the policy while the entry runs: the next choice and the
-// next failed attempt go by it, without a restart. Nothing in force yet leaves
-// the defaults.
+// An operator changes the policy while the entry runs. The next choice and the next
+// failed attempt must use it without a restart. The defaults apply until the first
+// configuration is in force.
 func TestPolicyInForceIsFollowed(t *testing.T) {
 	c := qt.New(t)
 	now := time.Date(2026, 12, 2, 12, 0, 0, 0, time.UTC)
 	live := &fleetconfig.Live{}
 	p := NewTablePlacer(routing.Options{})
 	p.Follow(live)
-	r := NewRetries(retry.Options{}, uncounted{})
+	r := NewRetries(retry.Options{}, nopMeter{})
 	r.Follow(live)
 	for i := range 8 {
 		zone := api.Zone([]string{"a", "b"}[i%2])
--- a/node/entry/resume.go
+++ b/node/entry/resume.go
@@ -9,16 +9,16 @@
 	"almondseam.dev/node/wire"
 )
 
-// ResumePoint is where a caller that comes back had got to.
+// ResumePoint is the position in an answer from which a returning caller continues.
 type ResumePoint struct {
 	Target     api.TargetID
 	Generation api.GenerationID
 	Offset     uint64
 }
 
-// Resume attaches a returning caller to the generation it had begun to receive,
-// through whichever entry it comes. The agent checks that the customer is the
-// one that made the request.
+// Resume attaches a returning caller to the generation that it had begun to
+// receive, at this or another entry. The agent checks that the request is the
+// customer's own.
 func (e *Entry) Resume(ctx context.Context, r *Request, from ResumePoint) (*Answer, error) {
 	p := e.peers.get(from.Target)
 	if p == nil {
@@ -26,30 +26,31 @@
 	}
 	a := newAnswer()
 	a.recv = stream.NewReceiverAt(from.Generation, from.Offset)
-	a.off = from.Offset
+	a.offset = from.Offset
 	a.acked = from.Offset
-	g := newLeg(r, a, 0, p, e.obs)
-	if !e.legs.add(g) {
+	d := newDispatch(r, a, 0, p, e.obs)
+	if !e.dispatches.add(d) {
 		return nil, &api.Error{Step: api.StepRoute, Peer: string(from.Target), Outcome: api.OutcomeUnknown, Reason: api.ReasonTargetGone, Err: errors.New("no such request")}
 	}
 	ctx, a.cancel = context.WithCancelCause(ctx)
 	e.work.Go(func() {
 		defer a.cancel(nil)
-		end := e.followResumed(ctx, a, g)
+		end := e.followResumed(ctx, a, d)
 		e.obs.Ended(r, end)
 		a.finish(end)
 	})
 	return a, nil
 }
 
-func (e *Entry) followResumed(ctx context.Context, a *Answer, g *leg) End {
-	defer e.legs.remove(g)
-	a.setAck(func(off uint64) { _ = g.link().Send(&wire.Ack{Key: g.key, Offset: off}) })
+// followResumed requests the rest of the answer and waits for its end.
+func (e *Entry) followResumed(ctx context.Context, a *Answer, d *dispatch) End {
+	defer e.dispatches.remove(d)
+	a.setAck(func(off uint64) { _ = d.currentLink().Send(&wire.Ack{Key: d.key, Offset: off}) })
 	defer a.setAck(nil)
-	if err := g.link().Send(g.resume()); err != nil {
+	if err := d.currentLink().Send(d.resume()); err != nil {
 		return AsEnd(err)
 	}
-	f := follower{e: e, g: g, accepted: true, deadline: stoppedTimer()}
+	f := follower{e: e, d: d, accepted: true, deadline: stoppedTimer()}
 	for {
 		done, err := f.step(ctx)
 		if !done {
--- a/node/entry/retries.go
+++ b/node/entry/retries.go
@@ -9,7 +9,7 @@
 	"almondseam.dev/core/retry"
 )
 
-// Retries is the Retrier over core/retry: it pays for attempts from budgets.
+// Retries is the Retrier that uses core/retry: it pays for retries from budgets.
 type Retries struct {
 	*retry.Policy
 	rngs   sync.Pool
@@ -18,21 +18,21 @@
 
 var _ Retrier = (*Retries)(nil)
 
-// NewRetries makes a retrier that counts with m.
+// NewRetries returns a Retrier that counts its decisions with m.
 func NewRetries(o retry.Options, m retry.Meter) *Retries {
 	return &Retries{Policy: retry.New(o, m), rngs: newRands()}
 }
 
-// Next implements Retrier. What movable tells is exactly what the policy has to
-// know of delivery and repeatability.
-func (r *Retries) Next(a retry.Attempt, err *api.Error, movable bool, now time.Time) (bool, time.Duration) {
-	if !movable {
+// Next implements Retrier. safeToRetry already covers what the policy needs to know
+// of delivery and repeatability.
+func (r *Retries) Next(a retry.Attempt, err *api.Error, safeToRetry bool, now time.Time) (bool, time.Duration) {
+	if !safeToRetry {
 		return false, 0
 	}
 	r.policy.refresh()
 	rng := r.rngs.Get().(*rand.Rand)
 	defer r.rngs.Put(rng)
-	d := r.Policy.Next(a, err, 0, movable, now, rng)
+	d := r.Policy.Next(a, err, 0, safeToRetry, now, rng)
 	return d.Retry, d.After
 }
 
@@ -42,7 +42,8 @@
 	r.Policy.First(c, now)
 }
 
-// newRands gives a pool of generators: one is used by one goroutine at a time.
+// newRands returns a pool of random generators, each of which is used by one
+// goroutine at a time.
 func newRands() sync.Pool {
 	return sync.Pool{New: func() any { return rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64())) }}
 }
