--- a/node/process/routed_control.go
+++ b/node/process/routed_control.go
@@ -103,7 +103,7 @@
 // Start runs the member until Stop.
 func (c *RoutedControl) Start() {
 	c.follower.Follow(c.set.Seeds)
-	c.work.Go(func() { c.registry.Run(c.ctx, missedAnnouncements*c.set.AnnounceEvery) })
+	c.work.Go(func() { c.registry.RunExpiry(c.ctx, missedAnnouncements*c.set.AnnounceEvery) })
 	c.work.Go(func() { c.registry.RunRounds(c.ctx) })
 	c.work.Go(c.keepRunning)
 	c.work.Go(c.followMembers)
--- a/node/process/routed_entry.go
+++ b/node/process/routed_entry.go
@@ -197,7 +197,7 @@
 			report.List = e.targets.ChangedLoads()
 		}
 		e.follower.Report(report)
-		time.Sleep(registry.RoundEvery)
+		time.Sleep(registry.MinRoundInterval)
 	}
 }
 
--- a/node/registry/registry.go
+++ b/node/registry/registry.go
@@ -244,10 +244,10 @@
 	}
 }
 
-// RoundEvery is the least time between two rounds. Load pattern: thirty entries send
+// MinRoundInterval is the least time between two rounds. Load pattern: thirty entries send
 // sixty prompts a second to forty engines two thirds full, and what an entry does not know
 // of the others' choices it adds to. Rounds are made only when something has changed.
-const RoundEvery = 8 * time.Millisecond
+const MinRoundInterval = 8 * time.Millisecond
 
 // RunRounds passes news of targets and entries' load reports on to subscribers, until ctx
 // is done.
@@ -259,7 +259,7 @@
 		case <-r.due:
 		}
 		r.round()
-		time.Sleep(RoundEvery)
+		time.Sleep(MinRoundInterval)
 	}
 }
 
@@ -290,8 +290,8 @@
 // it is noticed a quarter late at most.
 const looksPerSilence = 4
 
-// Run notices targets that have fallen silent, until ctx is done.
-func (r *Registry) Run(ctx context.Context, silence time.Duration) {
+// RunExpiry notices targets that have fallen silent, until ctx is done.
+func (r *Registry) RunExpiry(ctx context.Context, silence time.Duration) {
 	t := time.NewTicker(silence / looksPerSilence)
 	defer t.Stop()
 	for {
