--- a/node/relay/send.go
+++ b/node/relay/send.go
@@ -53,9 +53,9 @@
 		Host:   req.httpRequest.Host,
 		Header: r.upstreamHeader(req, d),
 		Body:   req.body,
-		Mine:   func(h http.Header) bool { return r.ownsResponse(req, h) },
+		Match:   func(h http.Header) bool { return r.ownsResponse(req, h) },
 
-		KeepMost: r.maxIdleConns(t),
+		MaxIdle: r.maxIdleConns(t),
 	})
 	outcome := r.classify(ctx, req, t, x, start, err)
 	if outcome != outcomeNotSent && outcome != outcomeWrongTarget {
--- a/node/upstream/exchange.go
+++ b/node/upstream/exchange.go
@@ -20,12 +20,12 @@
 	Host   string
 	Header http.Header
 	Body   []byte
-	// Mine tells by its head whether an answer belongs to this request; nil takes
+	// Match tells by its head whether an answer belongs to this request; nil takes
 	// the first one.
-	Mine func(http.Header) bool
-	// KeepMost bounds how many idle connections to the target are kept once the exchange is
+	Match func(http.Header) bool
+	// MaxIdle bounds how many idle connections to the target are kept once the exchange is
 	// over; zero, or more than MaxIdlePerTarget, is that.
-	KeepMost int
+	MaxIdle int
 }
 
 // maxStray is how many answers that belong to other requests are skipped on one
@@ -61,7 +61,7 @@
 	if err != nil {
 		return nil, err
 	}
-	x := &Exchange{pool: p, conn: c, most: req.KeepMost}
+	x := &Exchange{pool: p, conn: c, most: req.MaxIdle}
 	x.stop = context.AfterFunc(ctx, func() { _ = c.Close() })
 	x.send(req)
 	if err := x.readHead(req); err != nil {
@@ -126,7 +126,7 @@
 		if resp.StatusCode < http.StatusOK && resp.StatusCode != http.StatusSwitchingProtocols {
 			continue
 		}
-		if req.Mine == nil || req.Mine(resp.Header) {
+		if req.Match == nil || req.Match(resp.Header) {
 			x.resp, x.Status, x.Header = resp, resp.StatusCode, resp.Header
 			return nil
 		}
--- a/node/upstream/upstream_test.go
+++ b/node/upstream/upstream_test.go
@@ -43,7 +43,7 @@
 func get(id string) *Request {
 	return &Request{
 		Method: http.MethodGet, URI: "/", Host: "h", Header: http.Header{"Id": {id}},
-		Mine: func(h http.Header) bool { return h.Get("Id") == id },
+		Match: func(h http.Header) bool { return h.Get("Id") == id },
 	}
 }
 
@@ -224,7 +224,7 @@
 	var open []*Exchange
 	for i := range atOnce {
 		req := get(fmt.Sprint(i))
-		req.KeepMost = most
+		req.MaxIdle = most
 		x, err := p.Do(context.Background(), addr, req)
 		c.Assert(err, qt.IsNil)
 		open = append(open, x)
