--- a/node/registry/follow.go
+++ b/node/registry/follow.go
@@ -16,69 +16,77 @@
 )
 
 const (
-	// followPause grows from its least to its most while a member can't be
-	// reached; the most keeps a restarted member from waiting long for entries.
-	followPauseMin = 50 * time.Millisecond
-	followPauseMax = time.Second
-	// dialLeast and dialMost bound one attempt, see link.Patience.
-	dialLeast = 200 * time.Millisecond
-	dialMost  = time.Second
+	// The delay between two attempts to connect to an unreachable member doubles from
+	// reconnectDelayMin to reconnectDelayMax. The maximum is short so that entries
+	// reconnect soon to a member that has restarted.
+	reconnectDelayMin = 50 * time.Millisecond
+	reconnectDelayMax = time.Second
+	// dialTimeoutMin and dialTimeoutMax bound the time of one dial; see link.Patience.
+	dialTimeoutMin = 200 * time.Millisecond
+	dialTimeoutMax = time.Second
 )
 
-// FollowerOptions of a Follower.
+// FollowerOptions configures a Follower.
 type FollowerOptions struct {
 	Registry *Registry
 	Link     link.Options
-	// Self is an address that is never dialled; empty for none.
+	// Self is this process's own address, which is never dialled. It is empty for a
+	// process that is no member.
 	Self string
-	// OnLoads receives entries' load reports, from several goroutines; nil for none.
+	// OnLoads is called with the load reports that members send, from several goroutines
+	// at once. It may be nil.
 	OnLoads func([]fleetload.Report)
-	// Member makes this process receive from each member what entries report there. An
-	// entry receives all load reports from one member, its home.
+	// Member is set if this process is itself a control member. A member receives from
+	// each other member the load reports that entries sent there. An entry receives all
+	// load reports from a single member, its home.
 	Member bool
 }
 
-// Follower keeps a link to each of a changing set of members and merges what they tell
-// into a registry.
+// Follower keeps a link to each of a changing set of members and merges the records
+// that they send into a registry.
 //
-// Load reports between an entry and the fleet go by way of its home: a member in its own
-// availability zone where there is one, which exchanges them with the other members. So
-// a report crosses between zones once for each member, however many entries there are.
+// An entry sends and receives load reports through its home, one of the members, which
+// exchanges them with the other members. Among the members that are well connected to the
+// others, the home is one in the entry's own availability zone if there is one. So a
+// report crosses zone boundaries once per member, however many entries there are.
 type Follower struct {
 	opt FollowerOptions
 
-	mu     sync.Mutex
-	ctx    context.Context
-	work   conc.WaitGroup
-	active map[string]context.CancelFunc
-	conns  map[string]*member
-	home   string
-	// homeSince is when the home was chosen.
+	mu      sync.Mutex
+	ctx     context.Context
+	wg      conc.WaitGroup
+	cancels map[string]context.CancelFunc
+	conns   map[string]*member
+	// home is the address of the home member, empty for none.
+	home string
+	// homeSince is the time at which home was last set.
 	homeSince time.Time
 }
 
-// member is a control member with a link.
+// member is a control member to which a link is open.
 type member struct {
 	conn Conn
-	// reach is how many other members it gets load reports from.
-	reach int
+	// peerCount is the number of other members from which this member receives load
+	// reports, as it last stated.
+	peerCount int
 }
 
-// Conn is the link to a member.
+// Conn is an open link to a member.
 type Conn interface {
 	Sender
 	Peer() link.Peer
 }
 
-// NewFollower makes a follower that ends with ctx.
+// NewFollower returns a follower without links, which runs until ctx is done.
 func NewFollower(ctx context.Context, opt FollowerOptions) *Follower {
 	if opt.OnLoads == nil {
 		opt.OnLoads = func([]fleetload.Report) {}
 	}
-	return &Follower{opt: opt, ctx: ctx, active: make(map[string]context.CancelFunc), conns: make(map[string]*member)}
+	return &Follower{opt: opt, ctx: ctx, cancels: make(map[string]context.CancelFunc), conns: make(map[string]*member)}
 }
 
-// Follow sets the addresses.
+// Follow replaces the set of member addresses: it closes the links to addresses that are
+// not in addrs and starts to connect to new ones.
 func (f *Follower) Follow(addrs []string) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -86,14 +94,14 @@
 	for _, a := range addrs {
 		want[a] = a != f.opt.Self
 	}
-	for a, cancel := range f.active {
+	for a, cancel := range f.cancels {
 		if !want[a] {
 			cancel()
-			delete(f.active, a)
+			delete(f.cancels, a)
 		}
 	}
 	for a, ok := range want {
-		if ok && f.active[a] == nil && f.ctx.Err() == nil {
+		if ok && f.cancels[a] == nil && f.ctx.Err() == nil {
 			f.start(a)
 		}
 	}
@@ -101,21 +109,23 @@
 
 func (f *Follower) start(addr string) {
 	ctx, cancel := context.WithCancel(f.ctx)
-	f.active[addr] = cancel
-	patience := link.NewPatience(dialLeast, dialMost)
-	f.work.Go(func() {
-		link.Keep(ctx, followPauseMin, followPauseMax, func() bool { return f.once(ctx, addr, patience) })
+	f.cancels[addr] = cancel
+	patience := link.NewPatience(dialTimeoutMin, dialTimeoutMax)
+	f.wg.Go(func() {
+		link.Keep(ctx, reconnectDelayMin, reconnectDelayMax, func() bool { return f.connectAndReceive(ctx, addr, patience) })
 	})
 }
 
-func (f *Follower) once(ctx context.Context, addr string, patience *link.Patience) bool {
+// connectAndReceive opens a link to addr and handles its messages until it ends. It reports
+// whether a link was opened.
+func (f *Follower) connectAndReceive(ctx context.Context, addr string, patience *link.Patience) bool {
 	conn, err := patience.Dial(ctx, addr, f.opt.Link)
 	if err != nil {
 		return false
 	}
-	f.set(addr, conn)
+	f.addConn(addr, conn)
 	conn.Run(ctx, func(m wire.Message) { f.handle(addr, m) })
-	f.unset(addr, conn)
+	f.removeConn(addr, conn)
 	return true
 }
 
@@ -125,19 +135,19 @@
 		f.opt.Registry.Merge(m.List)
 	case *Loads:
 		f.opt.OnLoads(m.List)
-	case *Reach:
-		f.reach(addr, m.Members)
+	case *PeerCount:
+		f.peerCount(addr, m.Members)
 	}
 }
 
-func (f *Follower) set(addr string, conn Conn) {
+func (f *Follower) addConn(addr string, conn Conn) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.conns[addr] = &member{conn: conn}
 	if f.opt.Member {
-		f.opt.Registry.SetReach(len(f.conns))
-		// A link that has ended is set anew by the next dial.
-		_ = conn.Send(&Subscribe{Loads: LoadsOfEntries})
+		f.opt.Registry.SetPeerCount(len(f.conns))
+		// Send fails only on a link that has ended; the next dial subscribes again.
+		_ = conn.Send(&Subscribe{Loads: LoadsFromEntries})
 		return
 	}
 	if f.home == "" {
@@ -147,7 +157,7 @@
 	_ = conn.Send(&Subscribe{Loads: LoadsNone})
 }
 
-func (f *Follower) unset(addr string, conn Conn) {
+func (f *Follower) removeConn(addr string, conn Conn) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if known := f.conns[addr]; known == nil || known.conn != conn {
@@ -155,7 +165,7 @@
 	}
 	delete(f.conns, addr)
 	if f.opt.Member {
-		f.opt.Registry.SetReach(len(f.conns))
+		f.opt.Registry.SetPeerCount(len(f.conns))
 		return
 	}
 	if f.home == addr {
@@ -163,24 +173,28 @@
 	}
 }
 
-func (f *Follower) reach(addr string, members int) {
+// peerCount handles a PeerCount message of the member at addr.
+func (f *Follower) peerCount(addr string, members int) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if known := f.conns[addr]; known != nil {
-		known.reach = members
+		known.peerCount = members
 	}
 }
 
-// homeLeast is how long an entry keeps its home while that has a link. After a stop of all,
-// members find each other within a second, and each of them would be the best for a moment.
-const homeLeast = 2 * time.Second
+// minHomeDuration is the least time for which an entry keeps a home whose link is up. After
+// a restart of the whole fleet the members connect to each other within about a second, and
+// until then each of them in turn may look best.
+const minHomeDuration = 2 * time.Second
 
-// improveHome moves an entry's home to a better member. The lock is held.
+// reconsiderHome moves the home to the best member once minHomeDuration has passed. f.mu
+// must be held.
 //
-// A member that is cut off from the others misses their load reports, and they those of its
-// entries. So members that reach the others go first.
-func (f *Follower) improveHome(now time.Time) {
-	if f.home == "" || now.Sub(f.homeSince) < homeLeast {
+// A member that has lost its links to the other members misses their load reports, and the
+// others miss the reports of its entries. Members that reach the others are therefore
+// preferred.
+func (f *Follower) reconsiderHome(now time.Time) {
+	if f.home == "" || now.Sub(f.homeSince) < minHomeDuration {
 		return
 	}
 	if best := f.bestHome(); best != f.home {
@@ -188,13 +202,16 @@
 	}
 }
 
-// moveHome makes a member home, or none. The new one begins to relay before the old one
-// ends, so that nothing is missed between; the whole list is asked for only where the old
-// one may have missed something.
+// moveHome makes the member at addr the home; an empty addr leaves the entry without one.
+// f.mu must be held.
+//
+// The subscription to the new home begins before the one to the old home ends, so that no
+// change is lost in between. All records are requested again only if there was no old
+// home or if it was not well connected and may have missed changes.
 func (f *Follower) moveHome(addr string) {
 	old, next := f.conns[f.home], f.conns[addr]
 	if next != nil {
-		_ = next.conn.Send(&Subscribe{Loads: LoadsAll, Whole: old == nil || !f.connected(old)})
+		_ = next.conn.Send(&Subscribe{Loads: LoadsAll, Whole: old == nil || !f.wellConnected(old)})
 	}
 	if old != nil {
 		_ = old.conn.Send(&Subscribe{Loads: LoadsNone})
@@ -202,21 +219,23 @@
 	f.home, f.homeSince = addr, time.Now()
 }
 
-// bestHome gives the address of the member to be home, empty without links.
+// bestHome returns the address of the member that should be home, or an empty string if no
+// link is open. f.mu must be held.
 func (f *Follower) bestHome() string {
 	addrs := slices.Sorted(maps.Keys(f.conns))
 	if len(addrs) == 0 {
 		return ""
 	}
 	return slices.MaxFunc(addrs, func(a, b string) int {
-		return cmp.Or(cmp.Compare(f.suits(a), f.suits(b)), cmp.Compare(f.rank(a), f.rank(b)))
+		return cmp.Or(cmp.Compare(f.homeScore(a), f.homeScore(b)), cmp.Compare(f.homeTieBreak(a), f.homeTieBreak(b)))
 	})
 }
 
-// connected tells whether a member reaches at least half as many others as any does.
-func (f *Follower) connected(m *member) bool {
+// wellConnected reports whether m receives load reports from at least half as many members
+// as any other linked member does. f.mu must be held.
+func (f *Follower) wellConnected(m *member) bool {
 	for _, other := range f.conns {
-		if other.reach > 2*m.reach {
+		if other.peerCount > 2*m.peerCount {
 			return false
 		}
 	}
@@ -224,37 +243,41 @@
 }
 
 const (
-	homeInZone = 1
-	// homeConnected goes before the zone.
-	homeConnected = 2
+	homeScoreZone = 1
+	// homeScoreConnected outweighs homeScoreZone.
+	homeScoreConnected = 2
 )
 
-// suits weighs a member as home: a connected one, then one in the own zone. Equal ones
-// are told apart by a hash that spreads entries.
-func (f *Follower) suits(addr string) int {
-	m, weight := f.conns[addr], 0
-	if f.connected(m) {
-		weight += homeConnected
+// homeScore returns the preference for the member at addr as home: well-connected members
+// first, then members in this process's availability zone. Between members of equal score
+// homeTieBreak decides.
+func (f *Follower) homeScore(addr string) int {
+	m, score := f.conns[addr], 0
+	if f.wellConnected(m) {
+		score += homeScoreConnected
 	}
 	if zone := m.conn.Peer().Zone; zone != "" && zone == f.opt.Link.Self.Zone {
-		weight += homeInZone
+		score += homeScoreZone
 	}
-	return weight
+	return score
 }
 
-func (f *Follower) rank(addr string) uint64 {
+// homeTieBreak returns a hash of this instance and addr. It spreads the entries evenly over
+// members of equal score.
+func (f *Follower) homeTieBreak(addr string) uint64 {
 	return xxhash.Sum64String(string(f.opt.Link.Self.Instance) + "/" + addr)
 }
 
-// Report sends this entry's load to its home, which tells the others.
+// Report sends a load report of this entry to its home, which forwards it to the other
+// members and entries. Without a home the report is dropped.
 func (f *Follower) Report(r fleetload.Report) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.improveHome(time.Now())
+	f.reconsiderHome(time.Now())
 	if home := f.conns[f.home]; home != nil {
 		_ = home.conn.Send(&Loads{List: []fleetload.Report{r}})
 	}
 }
 
-// Wait returns once all links have ended; the follower's context must be done.
-func (f *Follower) Wait() { f.work.Wait() }
+// Wait blocks until all links have ended. Cancel the context given to NewFollower first.
+func (f *Follower) Wait() { f.wg.Wait() }
--- a/node/registry/messages.go
+++ b/node/registry/messages.go
@@ -1,8 +1,9 @@
-// Package registry carries the list of targets that announce themselves from the
-// control members, which hear the announcements, to the entries, which route by
-// them. Every entry follows every member, so that the news of a draining target
-// takes one hop and needs no leader. It also carries the entries' load reports, by way
-// of one member for each entry. All types are safe for concurrent use.
+// Package registry replicates the list of self-registering targets from the control
+// members, which receive the targets' announcements, to the entries, which route
+// requests by that list. Every entry subscribes to every member, so that the change of a
+// draining target reaches the entries in one hop and without a leader. The package also
+// distributes the entries' load reports; each entry sends and receives them through one
+// member. Registry and Follower are safe for concurrent use.
 package registry
 
 import (
@@ -11,58 +12,64 @@
 	"almondseam.dev/node/wire"
 )
 
-// The kinds of registry messages, which share links with those of control.
+// The kinds of registry messages. Their numbers must differ from those of package
+// control, whose messages share the links.
 const (
 	kindSubscribe wire.Kind = iota + 96
 	kindRecords
 	kindLoads
-	kindReach
+	kindPeerCount
 )
 
-// LoadScope says which load reports a subscriber is told.
+// LoadScope selects the load reports that a subscriber receives. It also selects the
+// records: see Registry.Subscribe.
 type LoadScope uint8
 
-// The scopes.
+// The load scopes.
 const (
-	// LoadsNone: none.
+	// LoadsNone selects no load reports.
 	LoadsNone LoadScope = iota
-	// LoadsAll: those of all entries.
+	// LoadsAll selects the load reports of all entries.
 	LoadsAll
-	// LoadsOfEntries: those that entries themselves report to this member, as the other
-	// members are told.
-	LoadsOfEntries
+	// LoadsFromEntries selects the load reports that entries sent directly to this
+	// member. Other members subscribe with this scope.
+	LoadsFromEntries
 )
 
-// Subscribe asks for all records, and for those that change from then on. Sent again on
-// a link it changes the scope of the loads alone.
+// Subscribe requests the current records and all later changes: the records of all
+// targets, or with LoadsNone only those of targets that announce themselves to the
+// receiving member. A second Subscribe on a link changes the scope, and gets a full list
+// of records only if Whole is set.
 type Subscribe struct {
 	Loads LoadScope `cbor:"1,keyasint,omitempty"`
-	// Whole asks for the whole list again; the first one on a link gets a list anyway.
+	// Whole requests the records of all targets, whatever the scope. Without it, only the
+	// first Subscribe on a link is answered with a list, that of its scope.
 	Whole bool `cbor:"2,keyasint,omitempty"`
 }
 
-// Records are news of targets. The first one on a link holds all.
+// Records holds targets' records: all records of the subscriber's scope in the first
+// message on a link, later those that have changed or, for Subscribe.Whole, all again.
 type Records struct {
 	wire.Memo `cbor:"-"`
 
 	List []directory.Record `cbor:"1,keyasint"`
 }
 
-// Loads are what entries have under way: an entry's own on its way to its home, and
-// those that have changed from there to other members and to entries.
+// Loads holds load reports. An entry sends its own report to its home member, which
+// forwards it to the other members and to the entries.
 type Loads struct {
 	wire.Memo `cbor:"-"`
 
 	List []fleetload.Report `cbor:"1,keyasint"`
 }
 
-// Reach is how many other members a member gets load reports from.
-type Reach struct {
+// PeerCount states from how many other members the sending member receives load reports.
+type PeerCount struct {
 	Members int `cbor:"1,keyasint"`
 }
 
 // Kind implements wire.Message.
-func (*Reach) Kind() wire.Kind { return kindReach }
+func (*PeerCount) Kind() wire.Kind { return kindPeerCount }
 
 // Kind implements wire.Message.
 func (*Loads) Kind() wire.Kind { return kindLoads }
@@ -73,7 +80,7 @@
 // Kind implements wire.Message.
 func (*Records) Kind() wire.Kind { return kindRecords }
 
-// Protos lists the messages.
+// Protos returns the prototypes of the package's messages.
 func Protos() []wire.Proto {
-	return []wire.Proto{wire.ProtoOf[Subscribe](), wire.ProtoOf[Records](), wire.ProtoOf[Loads](), wire.ProtoOf[Reach]()}
+	return []wire.Proto{wire.ProtoOf[Subscribe](), wire.ProtoOf[Records](), wire.ProtoOf[Loads](), wire.ProtoOf[PeerCount]()}
 }
--- a/node/registry/registry.go
+++ b/node/registry/registry.go
@@ -18,146 +18,151 @@
 	Send(m wire.Message) error
 }
 
-// Observer is notified of every change of a target's state. Its methods
-// are called with a lock held and must neither block nor call back.
+// Observer is notified of changes to targets' records. Its methods are called with
+// the registry's lock held and must neither block nor call the registry.
 type Observer interface {
-	// Changed tells a record that is now in force, and where it came from: the
-	// target itself, another process, or silence.
+	// Changed receives a record that has changed and the source of the change, one of
+	// the Source constants.
 	Changed(r directory.Record, source string)
 }
 
-// Sources of a change.
+// The sources of a change: the target itself, another process, or the expiry of a target
+// that has stopped announcing itself.
 const (
 	SourceTarget  = "target"
 	SourcePeer    = "peer"
 	SourceSilence = "silence"
 )
 
-// Registry is one process's list of targets.
+// Registry is one process's copy of the list of targets.
 type Registry struct {
 	obs Observer
 
 	mu          sync.Mutex
 	dir         *directory.Directory
 	subscribers map[Sender]LoadScope
-	// loads are reports that wait for the next round, by entry; reported are those of
-	// them that came from the entries themselves.
-	loads    loadQueue
-	reported loadQueue
-	// reach is how many other members this one gets load reports from.
-	reach int
-	// ownNews and peerNews are records that subscribers have yet to be told: of targets
-	// that announce themselves here, and of others.
-	ownNews  []directory.Record
-	peerNews []directory.Record
-	// due holds a token while a round is.
-	due chan struct{}
-	// onChange is called with the changed records, in order.
+	// pendingLoads holds the load reports to be sent in the next round, by entry.
+	// pendingEntryLoads holds only those that entries sent directly to this member.
+	pendingLoads      loadQueue
+	pendingEntryLoads loadQueue
+	// peerCount is the number of other members from which this one receives load reports.
+	peerCount int
+	// ownChanges and peerChanges hold the changed records that have not been sent to
+	// subscribers yet: those of targets that announce themselves to this process, and
+	// those that came from other processes.
+	ownChanges  []directory.Record
+	peerChanges []directory.Record
+	// roundDue holds a token while a round is pending.
+	roundDue chan struct{}
+	// onChange is called with changed records in the order of the changes.
 	onChange func([]directory.Record)
 }
 
-// New makes an empty registry. onChange may be nil; it is called with the lock
-// held and must not call back.
+// New returns an empty registry. onChange may be nil; it is called with the registry's lock
+// held and must not call the registry.
 func New(obs Observer, onChange func([]directory.Record)) *Registry {
 	if onChange == nil {
 		onChange = func([]directory.Record) {}
 	}
-	return &Registry{obs: obs, dir: directory.New(), subscribers: make(map[Sender]LoadScope), loads: make(loadQueue), reported: make(loadQueue), due: make(chan struct{}, 1), onChange: onChange}
+	return &Registry{obs: obs, dir: directory.New(), subscribers: make(map[Sender]LoadScope), pendingLoads: make(loadQueue), pendingEntryLoads: make(loadQueue), roundDue: make(chan struct{}, 1), onChange: onChange}
 }
 
-// Announce takes what a target says of itself. When it returns, the news that a target
-// is not to be used any more has been queued on every link to a subscriber.
+// Announce applies a target's announcement. If the announcement takes the target out of
+// use, the change has been queued on every subscriber's link when Announce returns.
 func (r *Registry) Announce(rec directory.Record) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if got, news := r.dir.Announce(rec, time.Now()); news {
-		r.tell([]directory.Record{got}, SourceTarget)
+	if got, changed := r.dir.Announce(rec, time.Now()); changed {
+		r.publish([]directory.Record{got}, SourceTarget)
 	}
 }
 
-// Leave takes a target's deregistration.
+// Leave applies a target's deregistration, with the same guarantee as Announce.
 func (r *Registry) Leave(id api.TargetID, born int64) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if got, news := r.dir.Leave(id, born, time.Now()); news {
-		r.tell([]directory.Record{got}, SourceTarget)
+	if got, changed := r.dir.Leave(id, born, time.Now()); changed {
+		r.publish([]directory.Record{got}, SourceTarget)
 	}
 }
 
-// Merge takes records from another process.
+// Merge applies records received from another process.
 func (r *Registry) Merge(list []directory.Record) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	now := time.Now()
-	var news []directory.Record
+	var changed []directory.Record
 	for _, rec := range list {
 		if r.dir.Merge(rec, now) {
-			news = append(news, rec)
+			changed = append(changed, rec)
 		}
 	}
-	if len(news) > 0 {
-		r.tell(news, SourcePeer)
+	if len(changed) > 0 {
+		r.publish(changed, SourcePeer)
 	}
 }
 
-// tell passes news on. The lock is held, so that subscribers hear of changes in
-// the order in which they were made here.
-func (r *Registry) tell(news []directory.Record, source string) {
-	for _, rec := range news {
+// publish passes changed records to the observer and to onChange, and queues them for the
+// subscribers. r.mu must be held, so that observer and onChange see changes in the order in
+// which they were made.
+func (r *Registry) publish(changed []directory.Record, source string) {
+	for _, rec := range changed {
 		r.obs.Changed(rec, source)
 	}
-	r.onChange(news)
+	r.onChange(changed)
 	if len(r.subscribers) == 0 {
 		return
 	}
 	if source == SourcePeer {
-		r.peerNews = append(r.peerNews, news...)
+		r.peerChanges = append(r.peerChanges, changed...)
 	} else {
-		r.ownNews = append(r.ownNews, news...)
+		r.ownChanges = append(r.ownChanges, changed...)
 	}
-	if source == SourceTarget && slices.ContainsFunc(news, stopsUse) {
-		r.sendNews()
+	if source == SourceTarget && slices.ContainsFunc(changed, isUnavailable) {
+		r.sendChanges()
 		return
 	}
-	r.wake()
+	r.scheduleRound()
 }
 
-// stopsUse tells whether a record takes a target out of use. That is sent before the
-// target's announcement is answered; a target that is ready waits for the next round, since
-// thousands of them announce themselves in a second after a stop of everything.
-func stopsUse(rec directory.Record) bool { return rec.State != directory.StateReady }
+// isUnavailable reports whether a record takes a target out of use. Such a record is sent
+// before the target's announcement is answered. The record of a ready target waits for the
+// next round, because after a restart of the whole fleet thousands of targets announce
+// themselves within a second.
+func isUnavailable(rec directory.Record) bool { return rec.State != directory.StateReady }
 
-// sendNews queues what has changed on every link to a subscriber. The lock is held.
-func (r *Registry) sendNews() {
+// sendChanges queues the changed records on every subscriber's link. r.mu must be held.
+func (r *Registry) sendChanges() {
 	var own, all *Records
-	if len(r.ownNews) > 0 {
-		own = &Records{List: r.ownNews}
+	if len(r.ownChanges) > 0 {
+		own = &Records{List: r.ownChanges}
 		all = own
 	}
-	if len(r.peerNews) > 0 {
-		all = &Records{List: slices.Concat(r.ownNews, r.peerNews)}
+	if len(r.peerChanges) > 0 {
+		all = &Records{List: slices.Concat(r.ownChanges, r.peerChanges)}
 	}
 	for s, scope := range r.subscribers {
 		m := all
 		if scope == LoadsNone {
-			m = own // it follows the peers itself, and its home relays what it misses
+			m = own // the subscriber has links to the other members too, and its home forwards all changes
 		}
 		if m != nil {
-			// A link that has ended is taken out by Unsubscribe, and the peer gets the
-			// whole list on its next one.
+			// Send fails only on a link that has ended. Unsubscribe removes it, and the
+			// subscriber gets a full list when it subscribes on a new link.
 			_ = s.Send(m)
 		}
 	}
-	r.ownNews, r.peerNews = nil, nil
+	r.ownChanges, r.peerChanges = nil, nil
 }
 
-// Subscribe sends a link the records of a scope, and from then on what changes of them and
-// the loads of the scope: all records, or with LoadsNone those of targets that announce
-// themselves here. For a link that has subscribed it changes the scope.
+// Subscribe adds a subscriber. It sends the current records and from then on changed records
+// and the load reports of the scope. The records are those of all targets, or with LoadsNone
+// those of targets that announce themselves to this process. For a known subscriber it
+// changes the scope, and sends the records of all targets again only if m.Whole is set.
 func (r *Registry) Subscribe(s Sender, m Subscribe) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.sendNews()
+	r.sendChanges()
 	_, known := r.subscribers[s]
 	r.subscribers[s] = m.Loads
 	switch {
@@ -167,32 +172,34 @@
 		_ = s.Send(&Records{List: r.dir.OwnRecords(time.Now())})
 	}
 	if !known {
-		_ = s.Send(&Reach{Members: r.reach})
+		_ = s.Send(&PeerCount{Members: r.peerCount})
 	}
 }
 
-// SetReach sets how many other members this one gets load reports from.
-func (r *Registry) SetReach(members int) {
+// SetPeerCount sets the number of other members from which this one receives load reports,
+// and sends a changed number to all subscribers.
+func (r *Registry) SetPeerCount(members int) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if r.reach == members {
+	if r.peerCount == members {
 		return
 	}
-	r.reach = members
-	m := &Reach{Members: members}
+	r.peerCount = members
+	m := &PeerCount{Members: members}
 	for s := range r.subscribers {
 		_ = s.Send(m)
 	}
 }
 
-// Unsubscribe ends that.
+// Unsubscribe removes a subscriber.
 func (r *Registry) Unsubscribe(s Sender) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	delete(r.subscribers, s)
 }
 
-// loadQueue holds reports that wait for a round, the newest of each entry.
+// loadQueue holds load reports for the next round, by entry. Several reports of an entry are
+// merged into one.
 type loadQueue map[api.InstanceID]fleetload.Report
 
 func (q loadQueue) put(list []fleetload.Report) {
@@ -204,7 +211,7 @@
 	}
 }
 
-// take gives the message of a round, nil if nothing waits.
+// take empties the queue and returns its reports as a message, or nil if there are none.
 func (q loadQueue) take() *Loads {
 	if len(q) == 0 {
 		return nil
@@ -214,85 +221,90 @@
 	return m
 }
 
-// Load takes an entry's report, to be told at the next round.
+// Load queues reports that entries sent directly to this member. The next round sends
+// them to subscribers with LoadsAll and to those with LoadsFromEntries.
 func (r *Registry) Load(list []fleetload.Report) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.reported.put(list)
-	r.queue(list)
+	r.pendingEntryLoads.put(list)
+	r.queueLoads(list)
 }
 
-// LoadOfPeer takes reports that entries made to another member. They are told to this
-// one's entries, and to no member: each of those gets them from the other itself.
+// LoadOfPeer queues reports that entries sent to another member. The next round sends
+// them to subscribers with LoadsAll, which are entries. Members subscribe with
+// LoadsFromEntries: each receives these reports from that other member itself.
 func (r *Registry) LoadOfPeer(list []fleetload.Report) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.queue(list)
+	r.queueLoads(list)
 }
 
-// queue is called with the lock held.
-func (r *Registry) queue(list []fleetload.Report) {
-	r.loads.put(list)
-	r.wake()
+// queueLoads queues reports for subscribers with LoadsAll. r.mu must be held.
+func (r *Registry) queueLoads(list []fleetload.Report) {
+	r.pendingLoads.put(list)
+	r.scheduleRound()
 }
 
-// wake makes a round due.
-func (r *Registry) wake() {
+// scheduleRound requests a round, unless one is pending already.
+func (r *Registry) scheduleRound() {
 	select {
-	case r.due <- struct{}{}:
+	case r.roundDue <- struct{}{}:
 	default:
 	}
 }
 
-// MinRoundInterval is the least time between two rounds. Load pattern: thirty entries send
-// sixty prompts a second to forty engines two thirds full, and what an entry does not know
-// of the others' choices it adds to. Rounds are made only when something has changed.
+// MinRoundInterval is the least time between two rounds, which run only when something has
+// changed. It was chosen for thirty entries that send sixty prompts a second to forty engines
+// at two thirds of their capacity. Until an entry learns of the other entries' choices, it
+// sends more requests to the engines that these have just chosen.
 const MinRoundInterval = 8 * time.Millisecond
 
-// RunRounds passes news of targets and entries' load reports on to subscribers, until ctx
-// is done.
+// RunRounds sends queued records and load reports to the subscribers in rounds, until ctx is
+// done.
 func (r *Registry) RunRounds(ctx context.Context) {
 	for {
 		select {
 		case <-ctx.Done():
 			return
-		case <-r.due:
+		case <-r.roundDue:
 		}
 		r.round()
 		time.Sleep(MinRoundInterval)
 	}
 }
 
+// round sends everything that is queued.
 func (r *Registry) round() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.sendNews()
-	all, reported := r.loads.take(), r.reported.take()
+	r.sendChanges()
+	all, pendingEntryLoads := r.pendingLoads.take(), r.pendingEntryLoads.take()
 	for s, scope := range r.subscribers {
 		m := all
-		if scope == LoadsOfEntries {
-			m = reported
+		if scope == LoadsFromEntries {
+			m = pendingEntryLoads
 		}
 		if m != nil && scope != LoadsNone {
-			_ = s.Send(m) // an ended link's peer hears the next round on its next one
+			_ = s.Send(m) // a subscriber whose link has ended gets later rounds on its next link
 		}
 	}
 }
 
-// Records gives all records.
+// Records returns the records of all targets.
 func (r *Registry) Records() []directory.Record {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.dir.Records(time.Now())
 }
 
-// looksPerSilence is how often within a silence the list is checked, so that
-// it is noticed a quarter late at most.
-const looksPerSilence = 4
+// checksPerSilence is the number of expiry checks within the silence that makes a target
+// missing. A missing target is thus noticed at most a quarter of that time late.
+const checksPerSilence = 4
 
-// RunExpiry notices targets that have fallen silent, until ctx is done.
+// RunExpiry marks as missing each target that announced itself to this process and has not
+// done so again for the duration silence. It runs until ctx is done.
 func (r *Registry) RunExpiry(ctx context.Context, silence time.Duration) {
-	t := time.NewTicker(silence / looksPerSilence)
+	t := time.NewTicker(silence / checksPerSilence)
 	defer t.Stop()
 	for {
 		select {
@@ -307,7 +319,7 @@
 func (r *Registry) expire(silence time.Duration) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if gone := r.dir.Expire(time.Now(), silence); len(gone) > 0 {
-		r.tell(gone, SourceSilence)
+	if missing := r.dir.Expire(time.Now(), silence); len(missing) > 0 {
+		r.publish(missing, SourceSilence)
 	}
 }
--- a/node/registry/registry_test.go
+++ b/node/registry/registry_test.go
@@ -17,10 +17,10 @@
 
 func (noObserver) Changed(directory.Record, string) {}
 
-// peer is a link into another registry.
-type peer struct{ to *Registry }
+// registryLink is a Sender that delivers messages to another registry.
+type registryLink struct{ to *Registry }
 
-func (p *peer) Send(m wire.Message) error {
+func (p *registryLink) Send(m wire.Message) error {
 	switch m := m.(type) {
 	case *Records:
 		p.to.Merge(m.List)
@@ -34,29 +34,30 @@
 	return directory.Record{Target: "t", Service: "s", Address: "10.0.0.1:80", Born: 1, Sequence: seq, State: s}
 }
 
-// Callers are sent to a target until every entry knows that it leaves. When the
-// target's announcement is answered, the news is on its way to all that follow, and
-// one that follows later gets the whole list.
+// Requests go to a leaving target until every entry knows that it leaves. When Announce
+// returns, the change must have been sent to all subscribers, and a later subscriber must
+// get the full list.
 func TestNewsGoesToAllThatFollow(t *testing.T) {
 	c := qt.New(t)
 	member := New(noObserver{}, nil)
 	early, late := New(noObserver{}, nil), New(noObserver{}, nil)
-	member.Subscribe(&peer{early}, Subscribe{Loads: LoadsNone})
+	member.Subscribe(&registryLink{early}, Subscribe{Loads: LoadsNone})
 	member.Announce(record(1, directory.StateReady))
 	member.Announce(record(2, directory.StateLeaving))
 	c.Assert(early.Records()[0].State, qt.Equals, directory.StateLeaving)
-	member.Subscribe(&peer{late}, Subscribe{Loads: LoadsNone})
+	member.Subscribe(&registryLink{late}, Subscribe{Loads: LoadsNone})
 	c.Assert(late.Records()[0].State, qt.Equals, directory.StateLeaving)
 }
 
-// Members follow each other; news must not go round between them for ever.
+// Members subscribe to each other; a change must not circulate between them for ever.
 func TestNewsEndsWhereItIsKnown(t *testing.T) {
 	c := qt.New(t)
 	a, b := New(noObserver{}, nil), New(noObserver{}, nil)
-	// Registry holds its lock while it tells, so the way back is taken by hand.
+	// A registry holds its lock while it sends, so Send must not lead back to the sender.
+	// The test keeps what b sends and delivers the same record to a itself.
 	var fromB []directory.Record
-	b.Subscribe(&recorder{&fromB}, Subscribe{Loads: LoadsAll})
-	a.Subscribe(&peer{b}, Subscribe{Loads: LoadsNone})
+	b.Subscribe(&recordLog{&fromB}, Subscribe{Loads: LoadsAll})
+	a.Subscribe(&registryLink{b}, Subscribe{Loads: LoadsNone})
 	a.Announce(record(1, directory.StateReady))
 	a.round()
 	b.round()
@@ -69,30 +70,32 @@
 	c.Assert(fromB, qt.HasLen, 0)
 }
 
-type recorder struct{ list *[]directory.Record }
+// recordLog is a Sender that keeps the records it is sent.
+type recordLog struct{ list *[]directory.Record }
 
-func (r *recorder) Send(m wire.Message) error {
+func (r *recordLog) Send(m wire.Message) error {
 	if records, ok := m.(*Records); ok {
 		*r.list = append(*r.list, records.List...)
 	}
 	return nil
 }
 
-type loads struct{ got *[]fleetload.Report }
+// loadLog is a Sender that keeps the load reports it is sent.
+type loadLog struct{ got *[]fleetload.Report }
 
-func (l *loads) Send(m wire.Message) error {
+func (l *loadLog) Send(m wire.Message) error {
 	if m, ok := m.(*Loads); ok {
 		*l.got = append(*l.got, m.List...)
 	}
 	return nil
 }
 
-// Entries' loads are told in rounds, only the newest of each, and once.
+// A round must send only the newest load report of each entry, and send it once.
 func TestLoadsAreToldOnceInTheirNewestForm(t *testing.T) {
 	c := qt.New(t)
 	member := New(noObserver{}, nil)
 	var got []fleetload.Report
-	member.Subscribe(&loads{&got}, Subscribe{Loads: LoadsAll})
+	member.Subscribe(&loadLog{&got}, Subscribe{Loads: LoadsAll})
 	member.Load([]fleetload.Report{{Entry: "a", Whole: true}})
 	newest := fleetload.Report{Entry: "a", Whole: true, List: []fleetload.TargetLoad{{Target: "t", Load: fleetload.Load{Running: 2}}}}
 	member.Load([]fleetload.Report{newest})
@@ -101,12 +104,14 @@
 	c.Assert(got, qt.DeepEquals, []fleetload.Report{newest})
 }
 
-// fakeLink is an entry's link to a member, as the member's registry sees it.
+// fakeLink is an entry's link to a member. It passes subscriptions and load reports to the
+// member's registry.
 type fakeLink struct {
 	peer link.Peer
 	to   *Registry
+	// back is the subscriber that it registers there.
 	back Sender
-	// reports counts the loads that were sent.
+	// reports is the number of Loads messages sent.
 	reports int
 }
 
@@ -123,47 +128,47 @@
 	return nil
 }
 
-// told counts the load reports that a process is told, by entry.
-type told struct{ by map[api.InstanceID]int }
+// reportCounter is a Sender that counts the load reports it is sent, by entry.
+type reportCounter struct{ counts map[api.InstanceID]int }
 
-func newTold() *told { return &told{by: map[api.InstanceID]int{}} }
+func newReportCounter() *reportCounter { return &reportCounter{counts: map[api.InstanceID]int{}} }
 
-func (t *told) Send(m wire.Message) error {
+func (t *reportCounter) Send(m wire.Message) error {
 	if m, ok := m.(*Loads); ok {
 		for _, r := range m.List {
-			t.by[r.Entry]++
+			t.counts[r.Entry]++
 		}
 	}
 	return nil
 }
 
-// TestReportsReachEachEntryOnce guards against load reports that go round between
-// members, or that an entry is told by several of them.
+// TestReportsReachEachEntryOnce guards against load reports that circulate between members,
+// and against an entry that receives the same report from several members.
 func TestReportsReachEachEntryOnce(t *testing.T) {
 	c := qt.New(t)
 	home, other := New(noObserver{}, nil), New(noObserver{}, nil)
-	entry, peerOfHome, peerOfOther := newTold(), newTold(), newTold()
+	entry, peerOfHome, peerOfOther := newReportCounter(), newReportCounter(), newReportCounter()
 	home.Subscribe(entry, Subscribe{Loads: LoadsAll})
 	other.Subscribe(entry, Subscribe{Loads: LoadsNone})
-	home.Subscribe(peerOfHome, Subscribe{Loads: LoadsOfEntries})
-	other.Subscribe(peerOfOther, Subscribe{Loads: LoadsOfEntries})
+	home.Subscribe(peerOfHome, Subscribe{Loads: LoadsFromEntries})
+	other.Subscribe(peerOfOther, Subscribe{Loads: LoadsFromEntries})
 	home.Load([]fleetload.Report{{Entry: "a", Whole: true}})
 	other.Load([]fleetload.Report{{Entry: "b", Whole: true}})
 	home.LoadOfPeer([]fleetload.Report{{Entry: "b", Whole: true}})
 	home.round()
 	other.round()
-	c.Assert(entry.by, qt.DeepEquals, map[api.InstanceID]int{"a": 1, "b": 1})
-	c.Assert(peerOfHome.by, qt.DeepEquals, map[api.InstanceID]int{"a": 1})
-	c.Assert(peerOfOther.by, qt.DeepEquals, map[api.InstanceID]int{"b": 1})
+	c.Assert(entry.counts, qt.DeepEquals, map[api.InstanceID]int{"a": 1, "b": 1})
+	c.Assert(peerOfHome.counts, qt.DeepEquals, map[api.InstanceID]int{"a": 1})
+	c.Assert(peerOfOther.counts, qt.DeepEquals, map[api.InstanceID]int{"b": 1})
 }
 
-// TestPeersNewsComesByTheHome guards against an entry that is told each change by every
-// member, and against one that misses a change which its home knows.
+// TestPeersNewsComesByTheHome guards against an entry that receives each change from every
+// member, and against one that misses a change known to its home.
 func TestPeersNewsComesByTheHome(t *testing.T) {
 	c := qt.New(t)
 	member := New(noObserver{}, nil)
 	var got []directory.Record
-	entry := &recorder{&got}
+	entry := &recordLog{&got}
 	member.Subscribe(entry, Subscribe{Loads: LoadsNone})
 	member.Merge([]directory.Record{record(1, directory.StateReady)})
 	member.round()
@@ -175,18 +180,19 @@
 	c.Assert(got[1].State, qt.Equals, directory.StateLeaving)
 	member.Subscribe(entry, Subscribe{Loads: LoadsNone})
 	member.Leave("t", 1)
-	c.Assert(got[2].State, qt.Equals, directory.StateGone, qt.Commentf("what targets report here goes to all"))
+	c.Assert(got[2].State, qt.Equals, directory.StateGone, qt.Commentf("changes from targets that announce themselves here are sent to all subscribers"))
 }
 
-// Which member an entry hears loads from, and reports to.
+// TestHome checks which member an entry chooses as its home, and when the home moves.
 func TestHome(t *testing.T) {
 	c := qt.New(t)
 	f := NewFollower(context.Background(), FollowerOptions{Registry: New(noObserver{}, nil), Link: link.Options{Self: link.Peer{Instance: "e", Zone: "a"}}})
 	links := map[string]*fakeLink{}
-	up := func(addr string, zone api.Zone) {
-		links[addr] = &fakeLink{peer: link.Peer{Zone: zone}, to: New(noObserver{}, nil), back: newTold()}
-		f.set(addr, links[addr])
+	connect := func(addr string, zone api.Zone) {
+		links[addr] = &fakeLink{peer: link.Peer{Zone: zone}, to: New(noObserver{}, nil), back: newReportCounter()}
+		f.addConn(addr, links[addr])
 	}
+	// reports sends a report and returns the address of the member that received it.
 	reports := func() string {
 		before := map[string]int{}
 		for addr, l := range links {
@@ -200,73 +206,73 @@
 		}
 		return ""
 	}
-	later := func() { f.homeSince = f.homeSince.Add(-homeLeast) }
+	endMinHomeDuration := func() { f.homeSince = f.homeSince.Add(-minHomeDuration) }
 	c.Assert(reports(), qt.Equals, "")
-	up("1", "b")
+	connect("1", "b")
 	c.Assert(reports(), qt.Equals, "1")
-	up("2", "a")
-	c.Assert(reports(), qt.Equals, "1", qt.Commentf("a home is kept for a while"))
-	later()
-	c.Assert(reports(), qt.Equals, "2", qt.Commentf("a member in the own zone goes first"))
-	f.reach("1", 2)
-	later()
-	c.Assert(reports(), qt.Equals, "1", qt.Commentf("but not one that hears no other"))
-	f.reach("2", 2)
-	later()
+	connect("2", "a")
+	c.Assert(reports(), qt.Equals, "1", qt.Commentf("the home is kept for minHomeDuration"))
+	endMinHomeDuration()
+	c.Assert(reports(), qt.Equals, "2", qt.Commentf("a member in the entry's own zone is preferred"))
+	f.peerCount("1", 2)
+	endMinHomeDuration()
+	c.Assert(reports(), qt.Equals, "1", qt.Commentf("a member without links to other members is not preferred"))
+	f.peerCount("2", 2)
+	endMinHomeDuration()
 	c.Assert(reports(), qt.Equals, "2")
-	f.unset("2", links["2"])
+	f.removeConn("2", links["2"])
 	delete(links, "2")
-	c.Assert(reports(), qt.Equals, "1", qt.Commentf("a home that is gone is replaced at once"))
+	c.Assert(reports(), qt.Equals, "1", qt.Commentf("a home whose link has ended is replaced at once"))
 }
 
-// TestHomeMovesWithoutAGap guards against a change that an entry misses while its home
-// moves, and against a whole list for each move between members that know the same.
+// TestHomeMovesWithoutAGap guards against an entry that misses a change while its home
+// moves, and against a full list of records for a move between well-connected members.
 func TestHomeMovesWithoutAGap(t *testing.T) {
 	c := qt.New(t)
 	f := NewFollower(context.Background(), FollowerOptions{Registry: New(noObserver{}, nil), Link: link.Options{Self: link.Peer{Instance: "e", Zone: "a"}}})
-	one, two := &sentLog{zone: "b"}, &sentLog{zone: "a"}
-	f.set("1", one)
-	f.set("2", two)
+	one, two := &subscriptionLog{zone: "b"}, &subscriptionLog{zone: "a"}
+	f.addConn("1", one)
+	f.addConn("2", two)
 	c.Assert(one.sent, qt.DeepEquals, []Subscribe{{Loads: LoadsAll, Whole: true}})
 	c.Assert(two.sent, qt.DeepEquals, []Subscribe{{Loads: LoadsNone}})
 	f.moveHome("2")
 	c.Assert(two.sent[1], qt.Equals, Subscribe{Loads: LoadsAll})
 	c.Assert(one.sent[1], qt.Equals, Subscribe{Loads: LoadsNone})
-	f.reach("1", 3)
+	f.peerCount("1", 3)
 	f.moveHome("1")
-	c.Assert(one.sent[2], qt.Equals, Subscribe{Loads: LoadsAll, Whole: true}, qt.Commentf("the old home was cut off"))
+	c.Assert(one.sent[2], qt.Equals, Subscribe{Loads: LoadsAll, Whole: true}, qt.Commentf("the old home was not well connected"))
 }
 
-// sentLog keeps the subscriptions that are sent on a link.
-type sentLog struct {
+// subscriptionLog is a link that keeps the subscriptions sent on it.
+type subscriptionLog struct {
 	zone api.Zone
 	sent []Subscribe
 }
 
-func (l *sentLog) Peer() link.Peer { return link.Peer{Zone: l.zone} }
+func (l *subscriptionLog) Peer() link.Peer { return link.Peer{Zone: l.zone} }
 
-func (l *sentLog) Send(m wire.Message) error {
+func (l *subscriptionLog) Send(m wire.Message) error {
 	if m, ok := m.(*Subscribe); ok {
 		l.sent = append(l.sent, *m)
 	}
 	return nil
 }
 
-// countSends counts messages.
-type countSends struct{ n int }
+// sendCounter is a Sender that counts messages.
+type sendCounter struct{ n int }
 
-func (s *countSends) Send(wire.Message) error {
+func (s *sendCounter) Send(wire.Message) error {
 	s.n++
 	return nil
 }
 
-// TestReadyTargetsAreToldInRounds guards against a message to each entry for each of the
-// thousands of targets that announce themselves within a second of a stop of everything.
-// News that stops the use of a target does not wait.
+// TestReadyTargetsAreToldInRounds guards against one message per target and entry when
+// thousands of targets announce themselves within a second after a restart of the whole
+// fleet. A record that takes a target out of use must not wait for a round.
 func TestReadyTargetsAreToldInRounds(t *testing.T) {
 	c := qt.New(t)
 	member := New(noObserver{}, nil)
-	entry := &countSends{}
+	entry := &sendCounter{}
 	member.Subscribe(entry, Subscribe{Loads: LoadsAll})
 	before := entry.n
 	for i := range 1000 {
