--- a/node/upstream/exchange.go
+++ b/node/upstream/exchange.go
@@ -12,57 +12,59 @@
 	"time"
 )
 
-// Request is one request to a target.
+// Request is an HTTP request to a target.
 type Request struct {
 	Method string
-	// URI is the path with the query, as it goes on the request line.
+	// URI is the path with the query, as it stands in the request line.
 	URI    string
 	Host   string
 	Header http.Header
 	Body   []byte
-	// Match tells by its head whether an answer belongs to this request; nil takes
-	// the first one.
+	// Match reports from the header of a response whether it belongs to this request. If
+	// Match is nil, the first response is taken.
 	Match func(http.Header) bool
-	// MaxIdle bounds how many idle connections to the target are kept once the exchange is
-	// over; zero, or more than MaxIdlePerTarget, is that.
+	// MaxIdle bounds the idle connections to the target that are kept after the exchange.
+	// Zero or a value above MaxIdlePerTarget means MaxIdlePerTarget.
 	MaxIdle int
 }
 
-// maxStray is how many answers that belong to other requests are skipped on one
-// connection before it is given up.
-const maxStray = 2
+// maxStrayResponses is the number of responses to other requests that an exchange skips before
+// it gives its connection up.
+const maxStrayResponses = 2
 
-// keepMargin is taken off the time for which a target says that it keeps an idle
-// connection, so that it does not close one as the next request is under way.
-const keepMargin = time.Second
+// keepAliveMargin is subtracted from the target's Keep-Alive timeout, so that the target does
+// not close an idle connection while the next request is being sent on it.
+const keepAliveMargin = time.Second
 
-// Exchange is a request under way whose answer's head has been read. Close must be
-// called.
+// Exchange is a request in progress whose response header has been read. The caller must call
+// Close.
 type Exchange struct {
 	Status int
 	Header http.Header
-	// Body is the answer's body. Its error is nil or io.EOF only when the answer
-	// is whole.
+	// Body is the response body. It returns io.EOF only at the end of a complete
+	// response, and another error if the response is cut off. A response without a length
+	// or chunks counts as complete when the target closes the connection without a reset.
 	Body io.Reader
 
-	pool    *Pool
-	conn    *conn
-	resp    *http.Response
-	stop    func() bool
-	written chan error
-	whole   bool
-	most    int
+	pool       *Pool
+	conn       *conn
+	resp       *http.Response
+	stopCancel func() bool
+	written    chan error
+	complete   bool
+	maxIdle    int
 }
 
-// Do sends a request and reads the head of its answer. ctx ends the whole
-// exchange, also while the body is read. An error wraps ErrNotSent or ErrLost.
+// Do sends a request and reads the header of its response. ctx applies to the whole
+// exchange: if it is done while the body is being read, the connection is closed. An error
+// wraps ErrNotSent or ErrLost.
 func (p *Pool) Do(ctx context.Context, addr string, req *Request) (*Exchange, error) {
 	c, err := p.get(ctx, addr)
 	if err != nil {
 		return nil, err
 	}
-	x := &Exchange{pool: p, conn: c, most: req.MaxIdle}
-	x.stop = context.AfterFunc(ctx, func() { _ = c.Close() })
+	x := &Exchange{pool: p, conn: c, maxIdle: req.MaxIdle}
+	x.stopCancel = context.AfterFunc(ctx, func() { _ = c.Close() })
 	x.send(req)
 	if err := x.readHead(req); err != nil {
 		x.Close()
@@ -72,15 +74,15 @@
 	return x, nil
 }
 
-// inlineBody is the largest body that is written before the answer is read. A
-// larger one is written beside it: a target may answer before it has read all,
-// and with both sides writing neither would read.
-const inlineBody = 8 << 10
+// maxInlineBody is the size of the largest body that is written before the response is read.
+// A larger body is written concurrently: a target may respond before it has read the whole
+// body, and if both sides only wrote, they would deadlock.
+const maxInlineBody = 8 << 10
 
 func (x *Exchange) send(req *Request) {
 	head := encodeHead(req)
 	x.written = make(chan error, 1)
-	if len(req.Body) <= inlineBody {
+	if len(req.Body) <= maxInlineBody {
 		_, err := x.conn.Write(append(head, req.Body...))
 		x.written <- err
 		return
@@ -103,9 +105,9 @@
 	b.WriteString(" HTTP/1.1\r\nHost: ")
 	b.WriteString(req.Host)
 	b.WriteString("\r\n")
-	// Header.Write refuses nothing and replaces line breaks in values, so that no
-	// value can begin a header or a request of its own.
-	_ = req.Header.Write(&b) // a bytes.Buffer takes every write
+	// Header.Write replaces line breaks in values, so that no value can inject a header
+	// or a request.
+	_ = req.Header.Write(&b) // writing to a bytes.Buffer never fails
 	if len(req.Body) > 0 || req.Method != http.MethodGet && req.Method != http.MethodHead {
 		b.WriteString("Content-Length: ")
 		b.WriteString(strconv.Itoa(len(req.Body)))
@@ -115,8 +117,8 @@
 	return b.Bytes()
 }
 
-// readHead reads the answer's head. It skips interim answers, and those of other
-// requests that arrive where this one's is due.
+// readHead reads the response header. It skips interim responses, and up to maxStrayResponses
+// responses that do not match the request.
 func (x *Exchange) readHead(req *Request) error {
 	for stray := 0; ; {
 		resp, err := http.ReadResponse(x.conn.r, &http.Request{Method: req.Method})
@@ -131,8 +133,8 @@
 			return nil
 		}
 		stray++
-		if stray > maxStray {
-			return errors.New("answers of other requests")
+		if stray > maxStrayResponses {
+			return errors.New("too many responses to other requests")
 		}
 		if _, err := io.Copy(io.Discard, resp.Body); err != nil {
 			return err
@@ -140,31 +142,32 @@
 	}
 }
 
-// body reads the answer's body and notices its whole end.
+// body reads the response body and records in the exchange when it has reached its end.
 type body struct{ x *Exchange }
 
 func (b *body) Read(p []byte) (int, error) {
 	n, err := b.x.resp.Body.Read(p)
 	if errors.Is(err, io.EOF) {
-		b.x.whole = true
+		b.x.complete = true
 	}
 	return n, err
 }
 
-// Close ends the exchange. The connection is kept only when the answer was read
-// to its end, the request was written whole, and the target means to keep it.
+// Close ends the exchange. It returns the connection to the pool only if the response was read
+// to its end, the request was written completely, ctx was not done, and the target keeps the
+// connection open.
 func (x *Exchange) Close() {
-	live := x.stop()
-	if !live || !x.whole || !x.sent() || x.resp.Close || x.resp.ContentLength < 0 && len(x.resp.TransferEncoding) == 0 {
-		_ = x.conn.Close() // given up on purpose
+	live := x.stopCancel()
+	if !live || !x.complete || !x.requestWritten() || x.resp.Close || x.resp.ContentLength < 0 && len(x.resp.TransferEncoding) == 0 {
+		_ = x.conn.Close() // not reusable
 		return
 	}
-	x.pool.put(x.conn, x.keepFor(), x.most)
+	x.pool.putIdle(x.conn, x.keepAliveTimeout(), x.maxIdle)
 }
 
-// sent tells whether the request was written whole. A target that answered early
-// still reads the rest of the body; other bytes must not come in its place.
-func (x *Exchange) sent() bool {
+// requestWritten reports whether the request was written completely. A target that responded
+// early may still expect the rest of the body, and would take the next request for it.
+func (x *Exchange) requestWritten() bool {
 	select {
 	case err := <-x.written:
 		return err == nil
@@ -173,8 +176,9 @@
 	}
 }
 
-// keepFor reads the Keep-Alive time of the answer.
-func (x *Exchange) keepFor() time.Duration {
+// keepAliveTimeout returns for how long the connection may be kept idle: the response's Keep-Alive
+// timeout less keepAliveMargin, or the pool's default if the response has none.
+func (x *Exchange) keepAliveTimeout() time.Duration {
 	for part := range strings.SplitSeq(x.Header.Get("Keep-Alive"), ",") {
 		value, ok := strings.CutPrefix(strings.TrimSpace(part), "timeout=")
 		if !ok {
@@ -182,9 +186,9 @@
 		}
 		seconds, err := strconv.Atoi(value)
 		if err != nil {
-			return 0 // unreadable: as if the target did not mean to keep it
+			return 0 // malformed timeout: do not keep the connection
 		}
-		return time.Duration(seconds)*time.Second - keepMargin
+		return time.Duration(seconds)*time.Second - keepAliveMargin
 	}
-	return x.pool.idle
+	return x.pool.idleTimeout
 }
--- a/node/upstream/pool.go
+++ b/node/upstream/pool.go
@@ -1,9 +1,9 @@
-// Package upstream sends requests to targets over HTTP/1.1 on kept connections.
+// Package upstream sends requests to targets over pooled HTTP/1.1 connections.
 //
-// It never sends a request a second time by itself: an HTTP client that does so
-// on a connection closed under it could run a booking twice. Its errors tell
-// whether any byte of the request may have reached the target. A Pool is safe for
-// concurrent use.
+// It never retries a request: an HTTP client that sends a request again because the target
+// has closed a reused connection could run an operation that is not idempotent twice. The
+// errors tell whether any byte of the request may have reached the target. A Pool is safe
+// for concurrent use.
 package upstream
 
 import (
@@ -18,103 +18,114 @@
 )
 
 const (
-	// DefaultDial bounds the opening of a connection. Targets are a few
-	// milliseconds away; one that takes longer is without power or out of places.
-	DefaultDial = 400 * time.Millisecond
-	// DefaultIdle is how long a connection without a Keep-Alive time is kept: below
-	// the few seconds after which servers usually close one.
-	DefaultIdle = 4 * time.Second
-	// MaxIdlePerTarget bounds the kept connections to one target: more than one
-	// entry uses at once at its peak.
+	// DefaultDialTimeout bounds the opening of a connection. Targets are a few
+	// milliseconds away; one that takes longer is powered off or accepts no more
+	// connections.
+	DefaultDialTimeout = 400 * time.Millisecond
+	// DefaultIdleTimeout bounds how long an idle connection is kept if the target sent no
+	// Keep-Alive timeout. It is less than the few seconds after which servers usually
+	// close idle connections.
+	DefaultIdleTimeout = 4 * time.Second
+	// MaxIdlePerTarget bounds the idle connections to one target. An entry uses fewer
+	// connections to a target at its peak.
 	MaxIdlePerTarget = 16
-	// userTimeout ends a connection whose bytes are not acknowledged: a machine
-	// behind a partition answers nothing, not even a reset.
-	userTimeout = 3 * time.Second
-	readBuffer  = 4 << 10
+	// userTimeout is the TCP_USER_TIMEOUT: it ends a connection whose bytes are not
+	// acknowledged. A machine behind a network partition sends nothing, not even a reset.
+	userTimeout    = 3 * time.Second
+	readBufferSize = 4 << 10
 )
 
-// ErrNotSent reports a request of which the target has read nothing.
+// ErrNotSent reports that no byte of the request reached the target.
 var ErrNotSent = errors.New("request was not sent")
 
-// ErrLost reports a request that was sent and may have run.
+// ErrLost reports that the request, or part of it, may have reached the target and may have
+// run, but no response to it was read.
 var ErrLost = errors.New("answer was lost")
 
-// Observer counts connections. Its methods may be called from several goroutines.
+// Observer is notified of connection attempts. Its methods may be called from several
+// goroutines at once.
 type Observer interface {
+	// Dialled receives the result of an attempt to connect to addr.
 	Dialled(addr string, err error)
 }
 
-// Pool keeps idle connections by address.
+// Pool holds idle connections, by target address.
 type Pool struct {
-	dial time.Duration
-	idle time.Duration
-	obs  Observer
+	dialTimeout time.Duration
+	idleTimeout time.Duration
+	obs         Observer
 
 	mu   sync.Mutex
-	kept map[string][]*conn // newest last
+	idle map[string][]*conn // by address; the most recently used last
 }
 
-// NewPool makes a pool.
+// NewPool returns an empty pool.
 func NewPool(obs Observer) *Pool {
-	return &Pool{dial: DefaultDial, idle: DefaultIdle, obs: obs, kept: make(map[string][]*conn)}
+	return &Pool{dialTimeout: DefaultDialTimeout, idleTimeout: DefaultIdleTimeout, obs: obs, idle: make(map[string][]*conn)}
 }
 
 // conn is one connection to a target, used by one request at a time.
 type conn struct {
 	net.Conn
-	r       *bufio.Reader
-	addr    string
-	fresh   bool
+	r    *bufio.Reader
+	addr string
+	// fresh is set until the connection is reused.
+	fresh bool
+	// expires is the time from which the idle connection is no longer reused.
 	expires time.Time
 }
 
-// get gives a kept connection that still looks sound, or a new one. Requests that
-// must not run twice ask for one that was used lately.
+// get returns an idle connection that is still usable, or a new one.
 func (p *Pool) get(ctx context.Context, addr string) (*conn, error) {
 	for {
-		c := p.take(addr)
+		c := p.takeIdle(addr)
 		if c == nil {
-			return p.open(ctx, addr)
+			return p.dial(ctx, addr)
 		}
-		if c.sound() {
+		if c.usable() {
 			c.fresh = false
 			return c, nil
 		}
-		_ = c.Close() // it holds a stray answer or its end; nothing of ours is lost
+		_ = c.Close() // closed by the target or holding an unexpected response; no request is in flight on it
 	}
 }
 
-func (p *Pool) take(addr string) *conn {
+// takeIdle removes and returns the most recently used connection to addr, or returns nil if
+// there is none that has not expired.
+func (p *Pool) takeIdle(addr string) *conn {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	list := p.kept[addr]
+	list := p.idle[addr]
 	now := time.Now()
 	for len(list) > 0 {
 		c := list[len(list)-1]
 		list = list[:len(list)-1]
-		p.kept[addr] = list
+		p.idle[addr] = list
 		if now.Before(c.expires) {
 			return c
 		}
 		_ = c.Close() // idle for longer than the target keeps it
 	}
-	delete(p.kept, addr)
+	delete(p.idle, addr)
 	return nil
 }
 
-func (p *Pool) open(ctx context.Context, addr string) (*conn, error) {
-	d := net.Dialer{Timeout: p.dial, KeepAlive: -1}
+func (p *Pool) dial(ctx context.Context, addr string) (*conn, error) {
+	d := net.Dialer{Timeout: p.dialTimeout, KeepAlive: -1}
 	nc, err := d.DialContext(ctx, "tcp", addr)
 	p.obs.Dialled(addr, err)
 	if err != nil {
 		return nil, errors.Join(ErrNotSent, err)
 	}
 	setUserTimeout(nc)
-	return &conn{Conn: nc, r: bufio.NewReaderSize(nc, readBuffer), addr: addr, fresh: true}, nil
+	return &conn{Conn: nc, r: bufio.NewReaderSize(nc, readBufferSize), addr: addr, fresh: true}, nil
 }
 
-// put keeps a connection after an answer that ended where it said, and so many to its target.
-func (p *Pool) put(c *conn, keep time.Duration, most int) {
+// putIdle returns c to the pool for the time keep, after a complete response. If the target
+// then has more than maxIdle idle connections, the least recently used are closed; the limit
+// is MaxIdlePerTarget at most and by default. c itself is closed if keep is not positive or c
+// holds unread bytes.
+func (p *Pool) putIdle(c *conn, keep time.Duration, maxIdle int) {
 	if keep <= 0 || c.r.Buffered() > 0 {
 		_ = c.Close()
 		return
@@ -123,32 +134,32 @@
 	c.expires = time.Now().Add(keep)
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	list := p.kept[c.addr]
-	if most <= 0 || most > MaxIdlePerTarget {
-		most = MaxIdlePerTarget
+	list := p.idle[c.addr]
+	if maxIdle <= 0 || maxIdle > MaxIdlePerTarget {
+		maxIdle = MaxIdlePerTarget
 	}
-	for len(list) >= most {
-		_ = list[0].Close() // idle for longest; nothing is under way on it
+	for len(list) >= maxIdle {
+		_ = list[0].Close() // the least recently used; no request is in flight on it
 		list = list[1:]
 	}
-	p.kept[c.addr] = append(list, c)
+	p.idle[c.addr] = append(list, c)
 }
 
-// Forget closes the kept connections to an address.
-func (p *Pool) Forget(addr string) {
+// CloseIdle closes the idle connections to addr.
+func (p *Pool) CloseIdle(addr string) {
 	p.mu.Lock()
-	list := p.kept[addr]
-	delete(p.kept, addr)
+	list := p.idle[addr]
+	delete(p.idle, addr)
 	p.mu.Unlock()
 	for _, c := range list {
 		_ = c.Close()
 	}
 }
 
-// sound looks whether the target has closed the connection or sent bytes that
-// nobody asked for. A byte that is there before the
-// request is sent is a late answer to another request, or no answer at all.
-func (c *conn) sound() bool {
+// usable reports whether the target has neither closed the connection nor sent bytes on it.
+// A byte that arrives before the next request is sent belongs to a late response to another
+// request or to no response at all.
+func (c *conn) usable() bool {
 	sc, ok := c.Conn.(*net.TCPConn)
 	if !ok {
 		return true
@@ -157,14 +168,14 @@
 	if err != nil {
 		return false
 	}
-	quiet := false
+	empty := false
 	err = raw.Read(func(fd uintptr) bool {
 		var b [1]byte
 		_, _, rerr := unix.Recvfrom(int(fd), b[:], unix.MSG_PEEK|unix.MSG_DONTWAIT)
-		quiet = errors.Is(rerr, unix.EAGAIN)
+		empty = errors.Is(rerr, unix.EAGAIN)
 		return true
 	})
-	return err == nil && quiet
+	return err == nil && empty
 }
 
 func setUserTimeout(nc net.Conn) {
@@ -174,10 +185,10 @@
 	}
 	raw, err := sc.SyscallConn()
 	if err != nil {
-		return // the connection has ended already; the first write tells
+		return // the connection has ended already; the first write fails
 	}
 	_ = raw.Control(func(fd uintptr) {
-		// Without the option a partition is noticed by the request's own limits.
+		// If the option cannot be set, only the request's own timeout detects a partition.
 		_ = unix.SetsockoptInt(int(fd), unix.IPPROTO_TCP, unix.TCP_USER_TIMEOUT, int(userTimeout.Milliseconds()))
 	})
 }
--- a/node/upstream/upstream_test.go
+++ b/node/upstream/upstream_test.go
@@ -18,8 +18,9 @@
 
 func (noObserver) Dialled(string, error) {}
 
-// target takes connections and gives each to serve, with its number from 1.
-func target(t *testing.T, serve func(n int, c net.Conn, r *bufio.Reader)) string {
+// startTarget listens on a local port and returns its address. It calls serve for each
+// connection, with the number of the connection, counted from 1.
+func startTarget(t *testing.T, serve func(n int, c net.Conn, r *bufio.Reader)) string {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -40,29 +41,28 @@
 	return ln.Addr().String()
 }
 
-func get(id string) *Request {
+func newGetRequest(id string) *Request {
 	return &Request{
 		Method: http.MethodGet, URI: "/", Host: "h", Header: http.Header{"Id": {id}},
 		Match: func(h http.Header) bool { return h.Get("Id") == id },
 	}
 }
 
-func answer(id, body string) string {
+func response(id, body string) string {
 	return fmt.Sprintf("HTTP/1.1 200 OK\r\nId: %s\r\nContent-Length: %d\r\n\r\n%s", id, len(body), body)
 }
 
-func (x *Exchange) text() (string, error) {
+func (x *Exchange) readAndClose() (string, error) {
 	b, err := io.ReadAll(x.Body)
 	x.Close()
 	return string(b), err
 }
 
-// A target sends a second answer to one request. The next request on the connection
-// must not be given it, whether it is there before the request goes out or comes
-// just before its own answer.
+// A target sends two responses to one request. The second one arrives just before the response
+// to the next request on the connection, which must not get it.
 func TestStrayAnswersBelongToNobody(t *testing.T) {
 	c := qt.New(t)
-	addr := target(t, func(n int, conn net.Conn, r *bufio.Reader) {
+	addr := startTarget(t, func(n int, conn net.Conn, r *bufio.Reader) {
 		for {
 			req, err := http.ReadRequest(r)
 			if err != nil {
@@ -70,120 +70,121 @@
 			}
 			id := req.Header.Get("Id")
 			if id == "2" {
-				fmt.Fprint(conn, answer("1", "stray"))
+				fmt.Fprint(conn, response("1", "stray"))
 			}
-			fmt.Fprint(conn, answer(id, "mine "+id))
+			fmt.Fprint(conn, response(id, "own "+id))
 		}
 	})
 	p := NewPool(noObserver{})
 	for _, id := range []string{"1", "2", "3"} {
-		x, err := p.Do(context.Background(), addr, get(id))
+		x, err := p.Do(context.Background(), addr, newGetRequest(id))
 		c.Assert(err, qt.IsNil)
-		body, err := x.text()
+		body, err := x.readAndClose()
 		c.Assert(err, qt.IsNil)
-		c.Assert(body, qt.Equals, "mine "+id)
+		c.Assert(body, qt.Equals, "own "+id)
 	}
 }
 
-// How an answer ends decides whether it is whole, and whether its connection may
-// carry another request.
+// The end of a response decides whether it is complete, and whether its connection may be
+// reused.
 func TestEndsOfAnswers(t *testing.T) {
 	for _, tt := range []struct {
-		name  string
-		write string
-		reset bool
-		whole bool
-		kept  bool
+		name     string
+		write    string
+		reset    bool
+		complete bool
+		idle     bool
 	}{
-		{"by its length", answer("1", "abc"), false, true, true},
+		{"by its length", response("1", "abc"), false, true, true},
 		{"short of its length", "HTTP/1.1 200 OK\r\nId: 1\r\nContent-Length: 9\r\n\r\nabc", false, false, false},
 		{"with the last chunk", "HTTP/1.1 200 OK\r\nId: 1\r\nTransfer-Encoding: chunked\r\n\r\n3\r\nabc\r\n0\r\n\r\n", false, true, true},
 		{"without the last chunk", "HTTP/1.1 200 OK\r\nId: 1\r\nTransfer-Encoding: chunked\r\n\r\n3\r\nabc\r\n", false, false, false},
 		{"with the connection", "HTTP/1.1 200 OK\r\nId: 1\r\nConnection: close\r\n\r\nabc", false, true, false},
 		{"with a reset", "HTTP/1.1 200 OK\r\nId: 1\r\nConnection: close\r\n\r\nabc", true, false, false},
-		{"followed by stray bytes", answer("1", "abc") + "HTTP/1.1 200 OK\r\n", false, true, false},
+		{"followed by stray bytes", response("1", "abc") + "HTTP/1.1 200 OK\r\n", false, true, false},
 	} {
 		t.Run(tt.name, func(t *testing.T) {
 			c := qt.New(t)
 			connections := make(chan int, 2)
-			addr := target(t, func(n int, conn net.Conn, r *bufio.Reader) {
+			addr := startTarget(t, func(n int, conn net.Conn, r *bufio.Reader) {
 				connections <- n
 				if _, err := http.ReadRequest(r); err != nil {
 					return
 				}
 				fmt.Fprint(conn, tt.write)
-				if tt.kept {
+				if tt.idle {
 					if _, err := http.ReadRequest(r); err == nil {
-						fmt.Fprint(conn, answer("2", "again"))
+						fmt.Fprint(conn, response("2", "again"))
 					}
 					return
 				}
 				if tt.reset {
-					// The answer has to have arrived before the reset discards it.
+					// The response must have arrived before the reset, which would discard it.
 					_, _ = r.ReadByte()
 					_ = conn.(*net.TCPConn).SetLinger(0)
 				}
 			})
 			p := NewPool(noObserver{})
-			req := get("1")
+			req := newGetRequest("1")
 			x, err := p.Do(context.Background(), addr, req)
 			c.Assert(err, qt.IsNil)
 			if tt.reset {
 				_, err = x.conn.Write([]byte("x"))
 				c.Assert(err, qt.IsNil)
 			}
-			_, err = x.text()
-			c.Assert(err == nil, qt.Equals, tt.whole)
-			c.Assert(len(p.kept[addr]) == 1, qt.Equals, tt.kept)
-			if !tt.kept {
+			_, err = x.readAndClose()
+			c.Assert(err == nil, qt.Equals, tt.complete)
+			c.Assert(len(p.idle[addr]) == 1, qt.Equals, tt.idle)
+			if !tt.idle {
 				return
 			}
-			x, err = p.Do(context.Background(), addr, get("2"))
+			x, err = p.Do(context.Background(), addr, newGetRequest("2"))
 			c.Assert(err, qt.IsNil)
-			_, err = x.text()
+			_, err = x.readAndClose()
 			c.Assert(err, qt.IsNil)
 			c.Assert(<-connections, qt.Equals, 1)
 		})
 	}
 }
 
-// A target answers before it has read a long body and keeps the connection. The
-// rest of that body is still due there; another request must not go in its place.
+// A target responds before it has read a long body and keeps the connection open. It still
+// expects the rest of that body, so the connection must not be used for another request.
 func TestEarlyAnswerEndsTheConnection(t *testing.T) {
 	c := qt.New(t)
 	requests := make(chan string, 4)
-	addr := target(t, func(_ int, conn net.Conn, r *bufio.Reader) {
+	addr := startTarget(t, func(_ int, conn net.Conn, r *bufio.Reader) {
 		req, err := http.ReadRequest(r)
 		if err != nil {
 			return
 		}
 		requests <- req.Header.Get("Id")
-		fmt.Fprint(conn, answer(req.Header.Get("Id"), "early"))
+		fmt.Fprint(conn, response(req.Header.Get("Id"), "early"))
 		if req.ContentLength > 0 {
-			// Never read on: whatever comes is the body, as far as it is concerned.
+			// The target takes all further bytes for the body and reads almost nothing.
 			_, _ = io.CopyN(io.Discard, r, 1)
 			next := make([]byte, 1)
 			_, _ = conn.Read(next)
 		}
 	})
 	p := NewPool(noObserver{})
-	long := get("1")
+	long := newGetRequest("1")
 	long.Method = http.MethodPost
 	long.Body = []byte(strings.Repeat("x", 64<<20))
 	x, err := p.Do(context.Background(), addr, long)
 	c.Assert(err, qt.IsNil)
-	body, err := x.text()
+	body, err := x.readAndClose()
 	c.Assert(err, qt.IsNil)
 	c.Assert(body, qt.Equals, "early")
-	x, err = p.Do(context.Background(), addr, get("2"))
+	x, err = p.Do(context.Background(), addr, newGetRequest("2"))
 	c.Assert(err, qt.IsNil)
-	_, err = x.text()
+	_, err = x.readAndClose()
 	c.Assert(err, qt.IsNil)
 	c.Assert(<-requests, qt.Equals, "1")
 	c.Assert(<-requests, qt.Equals, "2")
 }
 
-// Whether a request may have run: a refused connection proves that it has not.
+// The error must tell whether a request may have run. A refused connection proves that it has
+// not; a connection closed without a response does not.
 func TestErrorsTellWhetherTheRequestWasSent(t *testing.T) {
 	c := qt.New(t)
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
@@ -191,47 +192,47 @@
 	closed := ln.Addr().String()
 	c.Assert(ln.Close(), qt.IsNil)
 	p := NewPool(noObserver{})
-	_, err = p.Do(context.Background(), closed, get("1"))
+	_, err = p.Do(context.Background(), closed, newGetRequest("1"))
 	c.Assert(errors.Is(err, ErrNotSent), qt.IsTrue)
 
-	lost := target(t, func(_ int, _ net.Conn, r *bufio.Reader) { _, _ = http.ReadRequest(r) })
-	_, err = p.Do(context.Background(), lost, get("1"))
+	lost := startTarget(t, func(_ int, _ net.Conn, r *bufio.Reader) { _, _ = http.ReadRequest(r) })
+	_, err = p.Do(context.Background(), lost, newGetRequest("1"))
 	c.Assert(errors.Is(err, ErrLost), qt.IsTrue)
 }
 
-// A header's value must not begin another header or another request.
+// A header value must not inject another header or another request.
 func TestValuesCannotBeginARequest(t *testing.T) {
 	c := qt.New(t)
 	head := string(encodeHead(&Request{Method: "GET", URI: "/", Host: "h", Header: http.Header{"A": {"x\r\n\r\nGET /smuggled HTTP/1.1"}}}))
 	c.Assert(strings.Contains(head, "\r\nGET "), qt.IsFalse)
 }
 
-// TestKeptConnectionsAreBounded guards against entries that together keep more idle connections
-// to a target than it accepts.
+// TestKeptConnectionsAreBounded guards against entries that together keep more idle
+// connections to a target than it accepts. It checks that a pool keeps at most Request.MaxIdle.
 func TestKeptConnectionsAreBounded(t *testing.T) {
-	const most, atOnce = 2, 6
+	const maxIdle, concurrent = 2, 6
 	c := qt.New(t)
-	addr := target(t, func(_ int, conn net.Conn, r *bufio.Reader) {
+	addr := startTarget(t, func(_ int, conn net.Conn, r *bufio.Reader) {
 		for {
 			req, err := http.ReadRequest(r)
 			if err != nil {
 				return
 			}
-			fmt.Fprint(conn, answer(req.Header.Get("Id"), "whole"))
+			fmt.Fprint(conn, response(req.Header.Get("Id"), "whole"))
 		}
 	})
 	p := NewPool(noObserver{})
-	var open []*Exchange
-	for i := range atOnce {
-		req := get(fmt.Sprint(i))
-		req.MaxIdle = most
+	var exchanges []*Exchange
+	for i := range concurrent {
+		req := newGetRequest(fmt.Sprint(i))
+		req.MaxIdle = maxIdle
 		x, err := p.Do(context.Background(), addr, req)
 		c.Assert(err, qt.IsNil)
-		open = append(open, x)
+		exchanges = append(exchanges, x)
 	}
-	for _, x := range open {
-		_, err := x.text()
+	for _, x := range exchanges {
+		_, err := x.readAndClose()
 		c.Assert(err, qt.IsNil)
 	}
-	c.Assert(p.kept[addr], qt.HasLen, most)
+	c.Assert(p.idle[addr], qt.HasLen, maxIdle)
 }
