--- a/node/chunk/chunk.go
+++ b/node/chunk/chunk.go
@@ -1,8 +1,8 @@
-// Package chunk is the form in which the pieces of a generation travel from an
-// agent to an entry. Nearly every piece of an OpenAI-compatible stream is one
-// text delta wrapped in the same two hundred bytes of JSON; the agent sends
-// only the text and the entry writes the wrapping again. All other pieces
-// travel as the engine's own JSON.
+// Package chunk encodes the chunks of a generation's stream for transfer from an
+// agent to an entry. Nearly every chunk of an OpenAI-compatible stream holds one
+// text delta in the same two hundred bytes of JSON. For such a chunk the agent
+// sends only the text, and the entry builds the JSON again. All other chunks are
+// sent as the engine's own JSON.
 package chunk
 
 import (
@@ -11,25 +11,27 @@
 	"fmt"
 )
 
-// Form is the first byte of an item.
+// Form is the first byte of an item, an encoded chunk. It selects the encoding of the
+// other bytes.
 type Form byte
 
 // The forms of items.
 const (
-	// Text: the rest of the item is the text of choice 0's delta.
+	// Text marks an item whose other bytes are the text of choice 0, the content of its
+	// delta in a chat stream.
 	Text Form = 'T'
-	// Raw: the rest is a whole JSON chunk.
+	// Raw marks an item whose other bytes are a complete JSON chunk.
 	Raw Form = 'J'
 )
 
-// ErrForm reports an item of no known form.
+// ErrForm reports an item that is empty or has an unknown form.
 var ErrForm = errors.New("chunk: unknown form")
 
-// ErrEngine is wrapped around an error object that the engine sent in its
-// stream.
+// ErrEngine reports an error object that the engine sent in its stream. The error that wraps
+// it contains the object's JSON.
 var ErrEngine = errors.New("chunk: engine reported an error")
 
-// Split gives an item's form and content.
+// Split returns the form and the content of an item.
 func Split(item []byte) (Form, []byte, error) {
 	if len(item) == 0 {
 		return 0, nil, ErrForm
@@ -41,7 +43,7 @@
 	return f, item[1:], nil
 }
 
-// envelope is a streamed chunk as far as the agent looks into it.
+// envelope holds the fields of a streamed JSON chunk that the agent reads.
 type envelope struct {
 	Choices []choice        `json:"choices"`
 	Usage   json.RawMessage `json:"usage"`
@@ -56,14 +58,14 @@
 	Logprobs json.RawMessage            `json:"logprobs"`
 }
 
-// Pack gives the item for one JSON chunk of an engine's stream, appended to
-// dst. finished tells that the chunk carries a finish reason.
+// Pack encodes one JSON chunk of an engine's stream as an item, appended to dst.
+// finished reports whether the chunk contains a finish reason.
 func Pack(dst, data []byte) (item []byte, finished bool, err error) {
 	var e envelope
 	if err := json.Unmarshal(data, &e); err != nil {
 		return nil, false, fmt.Errorf("engine chunk: %w", err)
 	}
-	if !null(e.Error) {
+	if !isNull(e.Error) {
 		return nil, false, fmt.Errorf("%w: %s", ErrEngine, e.Error)
 	}
 	for _, c := range e.Choices {
@@ -77,13 +79,14 @@
 	return append(dst, data...), finished, nil
 }
 
-// plainText gives the text when the chunk says nothing else.
+// plainText returns the text of choice 0 if the chunk contains nothing else that the
+// caller needs.
 func (e *envelope) plainText() (string, bool) {
-	if len(e.Choices) != 1 || !null(e.Usage) {
+	if len(e.Choices) != 1 || !isNull(e.Usage) {
 		return "", false
 	}
 	c := e.Choices[0]
-	if c.Index != 0 || c.Finish != nil || !null(c.Logprobs) {
+	if c.Index != 0 || c.Finish != nil || !isNull(c.Logprobs) {
 		return "", false
 	}
 	if c.Text != nil {
@@ -100,6 +103,7 @@
 	return *text, true
 }
 
-func null(raw json.RawMessage) bool {
+// isNull reports whether raw is absent or a JSON null.
+func isNull(raw json.RawMessage) bool {
 	return len(raw) == 0 || string(raw) == "null"
 }
