--- a/contract/doc.go
+++ b/contract/doc.go
@@ -1,3 +1,3 @@
-// Package contract drives the callers' interface with an ordinary client
-// library, in a module of its own so that the product does not depend on it.
+// Package contract tests the API that callers use with an ordinary OpenAI client library.
+// It is a separate module so that the product does not depend on that library.
 package contract
--- a/contract/openai_test.go
+++ b/contract/openai_test.go
@@ -20,23 +20,24 @@
 )
 
 const (
-	key   = "sk-contract"
-	model = "standin"
-	conf  = `
+	key            = "sk-contract"
+	model          = "standin"
+	configTemplate = `
 name: contract
 sites: [{id: here, region: loopback, zones: [here-a]}]
 customers: [{id: desk, keys: [%q]}]
 models: [{id: standin, context_tokens: 32000, max_output_tokens: 16000}]
 limits: {keepalive: 100ms}
 `
-	patience = 60 * time.Second
+	linkTimeout = 60 * time.Second
 )
 
-// serve runs an entry, an agent and a stand-in engine, and gives the base URL.
+// serve starts an entry, an agent and a stand-in engine, and returns the base URL of the
+// entry's API once the agent's target is linked.
 func serve(t *testing.T, opt standin.Options) string {
 	c := qt.New(t)
 	log := zerolog.Nop()
-	f, err := fleetconfig.Parse(fleetconfig.File{Name: "contract.yaml", Data: fmt.Appendf(nil, conf, fleetconfig.KeySum(key))})
+	f, err := fleetconfig.Parse(fleetconfig.File{Name: "contract.yaml", Data: fmt.Appendf(nil, configTemplate, fleetconfig.KeySum(key))})
 	c.Assert(err, qt.IsNil)
 	live := &fleetconfig.Live{}
 	live.Publish(fleetconfig.Compile(f).At(1, "here"))
@@ -58,7 +59,7 @@
 		_ = e.Stop(ctx)
 		_ = engine.Close()
 	})
-	for end := time.Now().Add(patience); e.Targets() == 0; time.Sleep(time.Millisecond) {
+	for end := time.Now().Add(linkTimeout); e.Targets() == 0; time.Sleep(time.Millisecond) {
 		c.Assert(time.Now().Before(end), qt.IsTrue, qt.Commentf("no target was linked"))
 	}
 	return "http://" + cln.Addr().String() + "/v1/"
@@ -74,26 +75,26 @@
 	return openai.NewClient(option.WithBaseURL(url), option.WithAPIKey(key), option.WithMaxRetries(0))
 }
 
-func ask(text string) openai.ChatCompletionNewParams {
+func chatParams(text string) openai.ChatCompletionNewParams {
 	return openai.ChatCompletionNewParams{
 		Model:    model,
 		Messages: []openai.ChatCompletionMessageParamUnion{openai.UserMessage(text)},
 	}
 }
 
-func answer(text string, n int) string { return standin.Config{}.Answer(text+"\n", n) }
+func expectedText(text string, n int) string { return standin.Config{}.Answer(text+"\n", n) }
 
-func tokens(n int) option.RequestOption { return option.WithJSONSet("x_output_tokens", n) }
+func withOutputTokens(n int) option.RequestOption { return option.WithJSONSet("x_output_tokens", n) }
 
 func TestChatWhole(t *testing.T) {
 	c := qt.New(t)
 	api := client(serve(t, standin.Options{Speed: 10}), key)
-	// 150 tokens take longer than the keep-alive interval, so that white space
-	// comes before the object.
-	got, err := api.Chat.Completions.New(context.Background(), ask("notes"), tokens(150))
+	// 150 tokens take longer than the keep-alive interval, so that the entry sends white
+	// space before the JSON object.
+	got, err := api.Chat.Completions.New(context.Background(), chatParams("notes"), withOutputTokens(150))
 	c.Assert(err, qt.IsNil)
 	c.Assert(got.Choices, qt.HasLen, 1)
-	c.Assert(got.Choices[0].Message.Content, qt.Equals, answer("notes", 150))
+	c.Assert(got.Choices[0].Message.Content, qt.Equals, expectedText("notes", 150))
 	c.Assert(got.Choices[0].FinishReason, qt.Equals, "stop")
 	c.Assert(got.Usage.CompletionTokens, qt.Equals, int64(150))
 }
@@ -101,9 +102,9 @@
 func TestChatStreamWithUsage(t *testing.T) {
 	c := qt.New(t)
 	api := client(serve(t, standin.Options{Speed: 20}), key)
-	p := ask("notes")
+	p := chatParams("notes")
 	p.StreamOptions = openai.ChatCompletionStreamOptionsParam{IncludeUsage: openai.Bool(true)}
-	s := api.Chat.Completions.NewStreaming(context.Background(), p, tokens(120))
+	s := api.Chat.Completions.NewStreaming(context.Background(), p, withOutputTokens(120))
 	acc := openai.ChatCompletionAccumulator{}
 	ids := make(map[string]bool)
 	for s.Next() {
@@ -111,7 +112,7 @@
 		c.Assert(acc.AddChunk(s.Current()), qt.IsTrue)
 	}
 	c.Assert(s.Err(), qt.IsNil)
-	c.Assert(acc.Choices[0].Message.Content, qt.Equals, answer("notes", 120))
+	c.Assert(acc.Choices[0].Message.Content, qt.Equals, expectedText("notes", 120))
 	c.Assert(acc.Usage.CompletionTokens, qt.Equals, int64(120))
 	c.Assert(ids, qt.HasLen, 1)
 }
@@ -120,10 +121,10 @@
 	c := qt.New(t)
 	api := client(serve(t, standin.Options{Speed: 20}), key)
 	p := openai.CompletionNewParams{Model: model, Prompt: openai.CompletionNewParamsPromptUnion{OfString: openai.String("tag")}}
-	got, err := api.Completions.New(context.Background(), p, tokens(7))
+	got, err := api.Completions.New(context.Background(), p, withOutputTokens(7))
 	c.Assert(err, qt.IsNil)
 	c.Assert(got.Choices[0].Text, qt.Equals, standin.Config{}.Answer("tag", 7))
-	s := api.Completions.NewStreaming(context.Background(), p, tokens(7))
+	s := api.Completions.NewStreaming(context.Background(), p, withOutputTokens(7))
 	text := ""
 	for s.Next() {
 		if len(s.Current().Choices) > 0 {
@@ -159,7 +160,7 @@
 		{"unknown model", key, "nothing", 404, "unknown_model"},
 	}
 	for _, tc := range tests {
-		p := ask("notes")
+		p := chatParams("notes")
 		p.Model = tc.model
 		api := client(url, tc.key)
 		_, err := api.Chat.Completions.New(context.Background(), p)
@@ -170,36 +171,36 @@
 	}
 }
 
-// The engine dies in mid-answer. A client library must report an error in both
-// ways of asking: the white space of a whole answer has status 200 long sent,
-// so the body is cut off rather than ended in order.
+// The engine dies in the middle of a generation. The client library must report an error for
+// a stream and for a response in one piece. For the latter the entry has already sent status
+// 200 with the white space before the body, so it can only cut the body off.
 func TestInterruptedAnswerIsAnErrorToTheLibrary(t *testing.T) {
 	c := qt.New(t)
-	die := standin.Faults{DieAtRequest: 1, DieAfterTokens: 100}
-	api := client(serve(t, standin.Options{Speed: 5, Faults: die}), key)
-	_, err := api.Chat.Completions.New(context.Background(), ask("notes"), tokens(500))
+	faults := standin.Faults{DieAtRequest: 1, DieAfterTokens: 100}
+	api := client(serve(t, standin.Options{Speed: 5, Faults: faults}), key)
+	_, err := api.Chat.Completions.New(context.Background(), chatParams("notes"), withOutputTokens(500))
 	c.Assert(err, qt.IsNotNil)
 
-	api = client(serve(t, standin.Options{Speed: 5, Faults: die}), key)
-	s := api.Chat.Completions.NewStreaming(context.Background(), ask("notes"), tokens(500))
+	api = client(serve(t, standin.Options{Speed: 5, Faults: faults}), key)
+	s := api.Chat.Completions.NewStreaming(context.Background(), chatParams("notes"), withOutputTokens(500))
 	for s.Next() {
 	}
 	c.Assert(s.Err(), qt.IsNotNil)
 }
 
-// The caller cancels its context in mid-stream: the library returns at once and
-// the next request on the same client is served.
+// The caller cancels its context in the middle of a stream. The library must return
+// context.Canceled, and the next request of the same client must succeed.
 func TestCancel(t *testing.T) {
 	c := qt.New(t)
 	api := client(serve(t, standin.Options{Speed: 20}), key)
 	ctx, cancel := context.WithCancel(context.Background())
-	s := api.Chat.Completions.NewStreaming(ctx, ask("notes"), tokens(5000))
+	s := api.Chat.Completions.NewStreaming(ctx, chatParams("notes"), withOutputTokens(5000))
 	c.Assert(s.Next(), qt.IsTrue)
 	cancel()
 	for s.Next() {
 	}
 	c.Assert(s.Err(), qt.ErrorIs, context.Canceled)
-	got, err := api.Chat.Completions.New(context.Background(), ask("tag"), tokens(3))
+	got, err := api.Chat.Completions.New(context.Background(), chatParams("tag"), withOutputTokens(3))
 	c.Assert(err, qt.IsNil)
-	c.Assert(got.Choices[0].Message.Content, qt.Equals, answer("tag", 3))
+	c.Assert(got.Choices[0].Message.Content, qt.Equals, expectedText("tag", 3))
 }
