--- a/node/relay/send.go
+++ b/node/relay/send.go
@@ -53,7 +53,7 @@
 		Host:   req.httpRequest.Host,
 		Header: r.upstreamHeader(req, d),
 		Body:   req.body,
-		Match:   func(h http.Header) bool { return r.ownsResponse(req, h) },
+		Match:  func(h http.Header) bool { return r.ownsResponse(req, h) },
 
 		MaxIdle: r.maxIdleConns(t),
 	})
