--- a/core/fleetconfig/decode.go
+++ b/core/fleetconfig/decode.go
@@ -16,7 +16,7 @@
 	byteRateType = reflect.TypeFor[ByteRate]()
 )
 
-// The tags that make up the schema.
+// Struct tags that form the schema.
 const (
 	tagKey      = "yaml"
 	tagDefault  = "default"
@@ -27,19 +27,19 @@
 	tagScope    = "scope"
 )
 
-// decoder fills a Fleet from a tree by the tags of its types.
+// decoder decodes a tree into a Fleet according to the tags of its types.
 type decoder struct {
 	problems Problems
-	// partial checks the types of an overlay, in which nothing is required
-	// and nothing is filled in.
-	partial bool
+	// overlay selects the rules for an overlay: no key is required, no default
+	// is applied, and fleet-wide values are rejected.
+	overlay bool
 }
 
 func (d *decoder) fail(n *node, path, format string, args ...any) {
 	d.problems = append(d.problems, Problem{Pos: n.pos, Path: path, Msg: fmt.Sprintf(format, args...)})
 }
 
-func (d *decoder) wrongKind(n *node, path, want string) {
+func (d *decoder) failKind(n *node, path, want string) {
 	got := n.kind.String()
 	if n.text != "" {
 		got += " (" + strconv.Quote(n.text) + ")"
@@ -47,56 +47,56 @@
 	d.fail(n, path, "want %s, got %s", want, got)
 }
 
-// value decodes n into v and reports whether it could.
-func (d *decoder) value(n *node, path string, v reflect.Value, tag reflect.StructTag) {
+// decodeValue decodes n into v and records a problem for each invalid value.
+func (d *decoder) decodeValue(n *node, path string, v reflect.Value, tag reflect.StructTag) {
 	switch {
 	case v.Type() == durationType, v.Type() == sizeType, v.Type() == rateType, v.Type() == byteRateType:
-		d.unit(n, path, v, tag)
+		d.decodeUnit(n, path, v, tag)
 	case v.Kind() == reflect.Struct:
-		d.structure(n, path, v)
+		d.decodeStruct(n, path, v)
 	case v.Kind() == reflect.Slice && v.Type().Elem().Kind() == reflect.Struct:
-		d.named(n, path, v)
+		d.decodeItems(n, path, v)
 	case v.Kind() == reflect.Slice:
-		d.strings(n, path, v)
+		d.decodeStrings(n, path, v)
 	default:
-		d.scalar(n, path, v, tag)
+		d.decodeScalar(n, path, v, tag)
 	}
 }
 
-func (d *decoder) structure(n *node, path string, v reflect.Value) {
+func (d *decoder) decodeStruct(n *node, path string, v reflect.Value) {
 	if n.kind != kindMap {
-		d.wrongKind(n, path, kindMap.String())
+		d.failKind(n, path, kindMap.String())
 		return
 	}
-	d.unknownKeys(n, path, v.Type())
+	d.rejectUnknownKeys(n, path, v.Type())
 	for i := range v.NumField() {
 		f := v.Type().Field(i)
 		key := f.Tag.Get(tagKey)
 		at := join(path, key)
 		if child := n.get(key); child != nil {
-			d.scope(child, at, f.Tag)
-			d.value(child, at, v.Field(i), f.Tag)
+			d.checkScope(child, at, f.Tag)
+			d.decodeValue(child, at, v.Field(i), f.Tag)
 			continue
 		}
-		if !d.partial {
-			d.absent(n, at, v.Field(i), f.Tag)
+		if !d.overlay {
+			d.applyDefault(n, at, v.Field(i), f.Tag)
 		}
 	}
 }
 
-// scope refuses an overlay's change to a value on which sites must agree. With
-// a method repeatable at one site alone, a call that is sent there and then
-// elsewhere would run twice; with a key that means two customers, one would
-// get the other's answers.
-func (d *decoder) scope(n *node, path string, tag reflect.StructTag) {
-	if d.partial && tag.Get(tagScope) != "" {
+// checkScope rejects an overlay that sets a value which must be the same at every
+// site. If a method were repeatable at one site only, a call sent there and then
+// to another site could run twice. If an API key belonged to different customers
+// at different sites, one customer could receive the other's responses.
+func (d *decoder) checkScope(n *node, path string, tag reflect.StructTag) {
+	if d.overlay && tag.Get(tagScope) != "" {
 		d.fail(n, path, "is the same at every site; change it in the base file")
 	}
 }
 
-func (d *decoder) unknownKeys(n *node, path string, t reflect.Type) {
-	known := keysOf(t)
-	if d.partial && slices.Contains(known, idKey) {
+func (d *decoder) rejectUnknownKeys(n *node, path string, t reflect.Type) {
+	known := schemaKeys(t)
+	if d.overlay && slices.Contains(known, idKey) {
 		known = append(known, removeKey)
 	}
 	for _, f := range n.fields {
@@ -107,7 +107,7 @@
 	}
 }
 
-func keysOf(t reflect.Type) []string {
+func schemaKeys(t reflect.Type) []string {
 	keys := make([]string, 0, t.NumField())
 	for i := range t.NumField() {
 		keys = append(keys, t.Field(i).Tag.Get(tagKey))
@@ -115,7 +115,8 @@
 	return keys
 }
 
-// suggestion offers the known key that differs least.
+// suggestion returns a hint that names the known key most similar to key, or ""
+// if none is within an edit distance of 2.
 func suggestion(key string, known []string) string {
 	best, dist := "", 3
 	for _, k := range known {
@@ -149,18 +150,19 @@
 	return row[len(b)]
 }
 
-// absent fills in the default of a value that the file leaves out.
-func (d *decoder) absent(parent *node, path string, v reflect.Value, tag reflect.StructTag) {
+// applyDefault sets v, whose key is absent, to its default, if it has one, or records
+// a problem if the key is required.
+func (d *decoder) applyDefault(parent *node, path string, v reflect.Value, tag reflect.StructTag) {
 	if tag.Get(tagRequired) != "" {
 		d.fail(parent, path, "is required")
 		return
 	}
 	if v.Kind() == reflect.Struct {
-		d.structure(&node{kind: kindMap, pos: parent.pos}, path, v)
+		d.decodeStruct(&node{kind: kindMap, pos: parent.pos}, path, v)
 		return
 	}
 	if def, ok := tag.Lookup(tagDefault); ok {
-		d.value(defaultNode(def, v.Type()), path, v, tag)
+		d.decodeValue(defaultNode(def, v.Type()), path, v, tag)
 	}
 }
 
@@ -178,14 +180,14 @@
 	return n
 }
 
-// named decodes a list of items that each have an id.
-func (d *decoder) named(n *node, path string, v reflect.Value) {
+// decodeItems decodes a list of mappings, each of which must have a unique id.
+func (d *decoder) decodeItems(n *node, path string, v reflect.Value) {
 	if n.kind != kindList {
-		d.wrongKind(n, path, kindList.String())
+		d.failKind(n, path, kindList.String())
 		return
 	}
 	if len(n.items) == 0 {
-		return // an empty list and none mean the same
+		return // an empty list is equivalent to an absent one
 	}
 	out := reflect.MakeSlice(v.Type(), len(n.items), len(n.items))
 	seen := map[string]Pos{}
@@ -203,16 +205,17 @@
 		if !validID(id) {
 			d.fail(it.get(idKey), at, "id wants 1 to %d letters, digits, '.', '_', '-' or '/', a letter or digit first", maxID)
 		}
-		d.removal(it, at)
-		d.structure(it, at, out.Index(i))
+		d.checkRemoval(it, at)
+		d.decodeStruct(it, at, out.Index(i))
 	}
 	v.Set(out)
 }
 
-// removal refuses a removal that is not spelled "remove: true" alone.
-func (d *decoder) removal(it *node, path string) {
+// checkRemoval rejects an overlay item whose remove key has a value other than true
+// or that has further keys besides its id.
+func (d *decoder) checkRemoval(it *node, path string) {
 	n := it.get(removeKey)
-	if n == nil || !d.partial {
+	if n == nil || !d.overlay {
 		return
 	}
 	if n.kind != kindBool || n.text != "true" {
@@ -225,8 +228,9 @@
 
 const maxID = 64
 
-// validID keeps ids free of what paths, metric labels and headers treat
-// specially, so that "customers[id].weight" reads back unambiguously.
+// validID reports whether s is a valid id. Ids contain no brackets, spaces,
+// quotes or other characters that need escaping in metric labels and headers or that
+// would make a path such as "customers[id].weight" ambiguous.
 func validID(s string) bool {
 	if s == "" || len(s) > maxID {
 		return false
@@ -241,20 +245,20 @@
 	return true
 }
 
-func (d *decoder) strings(n *node, path string, v reflect.Value) {
+func (d *decoder) decodeStrings(n *node, path string, v reflect.Value) {
 	if n.kind != kindList {
-		d.wrongKind(n, path, kindList.String())
+		d.failKind(n, path, kindList.String())
 		return
 	}
 	if len(n.items) == 0 {
-		return // an empty list and none mean the same
+		return // an empty list is equivalent to an absent one
 	}
 	out := reflect.MakeSlice(v.Type(), len(n.items), len(n.items))
 	seen := map[string]bool{}
 	for i, it := range n.items {
 		at := fmt.Sprintf("%s[%d]", path, i)
 		if it.kind != kindString {
-			d.wrongKind(it, at, "a string; put it in quotes")
+			d.failKind(it, at, "a string; put it in quotes")
 			continue
 		}
 		if seen[it.text] {
@@ -266,24 +270,24 @@
 	v.Set(out)
 }
 
-func (d *decoder) scalar(n *node, path string, v reflect.Value, tag reflect.StructTag) {
+func (d *decoder) decodeScalar(n *node, path string, v reflect.Value, tag reflect.StructTag) {
 	switch v.Kind() {
 	case reflect.String:
 		if n.kind != kindString {
-			d.wrongKind(n, path, "a string; put it in quotes")
+			d.failKind(n, path, "a string; put it in quotes")
 			return
 		}
-		d.enum(n, path, tag)
+		d.checkEnum(n, path, tag)
 		v.SetString(n.text)
 	case reflect.Bool:
 		if n.kind != kindBool {
-			d.wrongKind(n, path, kindBool.String())
+			d.failKind(n, path, kindBool.String())
 			return
 		}
 		v.SetBool(n.text == "true")
 	case reflect.Int:
 		if n.kind != kindInt {
-			d.wrongKind(n, path, kindInt.String())
+			d.failKind(n, path, kindInt.String())
 			return
 		}
 		x, err := strconv.ParseInt(n.text, 10, 64)
@@ -292,10 +296,10 @@
 			return
 		}
 		v.SetInt(x)
-		d.bounds(n, path, float64(x), tag, parsePlain)
+		d.checkBounds(n, path, float64(x), tag, parsePlain)
 	case reflect.Float64:
 		if n.kind != kindInt && n.kind != kindFloat {
-			d.wrongKind(n, path, kindFloat.String())
+			d.failKind(n, path, kindFloat.String())
 			return
 		}
 		x, err := parsePlain(n.text)
@@ -304,11 +308,11 @@
 			return
 		}
 		v.SetFloat(x)
-		d.bounds(n, path, x, tag, parsePlain)
+		d.checkBounds(n, path, x, tag, parsePlain)
 	}
 }
 
-func (d *decoder) enum(n *node, path string, tag reflect.StructTag) {
+func (d *decoder) checkEnum(n *node, path string, tag reflect.StructTag) {
 	allowed, ok := tag.Lookup(tagEnum)
 	if !ok {
 		return
@@ -318,8 +322,8 @@
 	}
 }
 
-// unit decodes a value that carries its unit in a string.
-func (d *decoder) unit(n *node, path string, v reflect.Value, tag reflect.StructTag) {
+// decodeUnit decodes a string that holds a number with its unit.
+func (d *decoder) decodeUnit(n *node, path string, v reflect.Value, tag reflect.StructTag) {
 	parse := unitParser(v.Type())
 	if n.kind != kindString {
 		_, err := parse("")
@@ -336,11 +340,11 @@
 	} else {
 		v.SetInt(int64(x))
 	}
-	d.bounds(n, path, x, tag, parse)
+	d.checkBounds(n, path, x, tag, parse)
 }
 
-// unitParser gives the parser of a type with a unit. Bounds keep every such
-// value far below 2^53, so float64 holds it exactly.
+// unitParser returns the parser of a type whose values have a unit. The schema's
+// bounds keep integer values below 2^53, so that float64 represents them exactly.
 func unitParser(t reflect.Type) func(string) (float64, error) {
 	switch t {
 	case durationType:
@@ -356,18 +360,19 @@
 
 func parsePlain(s string) (float64, error) { return strconv.ParseFloat(s, 64) }
 
-func (d *decoder) bounds(n *node, path string, x float64, tag reflect.StructTag, parse func(string) (float64, error)) {
+func (d *decoder) checkBounds(n *node, path string, x float64, tag reflect.StructTag, parse func(string) (float64, error)) {
 	lo, hi := tag.Get(tagMin), tag.Get(tagMax)
-	if lo != "" && x < bound(lo, parse) {
+	if lo != "" && x < parseBound(lo, parse) {
 		d.fail(n, path, "want at least %s, got %s", lo, n.text)
 	}
-	if hi != "" && x > bound(hi, parse) {
+	if hi != "" && x > parseBound(hi, parse) {
 		d.fail(n, path, "want at most %s, got %s", hi, n.text)
 	}
 }
 
-// bound reads a bound of the schema; a test reads every one.
-func bound(s string, parse func(string) (float64, error)) float64 {
+// parseBound parses the value of a min or max tag, which may lack the unit of its
+// type. It ignores errors because TestSchemaTagsRead parses all these tags.
+func parseBound(s string, parse func(string) (float64, error)) float64 {
 	x, err := parse(s)
 	if err != nil {
 		x, _ = parsePlain(s)
--- a/core/fleetconfig/delta.go
+++ b/core/fleetconfig/delta.go
@@ -9,11 +9,13 @@
 	"almondseam.dev/core/api"
 )
 
-// ErrWrongBase: a delta was made against another document than the one held.
-// The holder fetches the whole document.
+// ErrWrongBase means that a delta was computed from a document other than the one
+// it is applied to, or that the result has the wrong digest. The receiver then has
+// to fetch the whole document.
 var ErrWrongBase = errors.New("delta does not fit the document held")
 
-// Delta is what one revision, or a run of them, changed.
+// Delta holds the changes between two revisions of a document. The revisions need not
+// be consecutive.
 type Delta struct {
 	// From and To are the revisions before and after.
 	From api.Revision
@@ -25,7 +27,7 @@
 	edits []edit
 }
 
-// edit sets one leaf of one part, or removes it when Gone.
+// edit sets one leaf of one part, or removes it if Gone is set.
 type edit struct {
 	_    struct{} `cbor:",toarray"`
 	Site api.Site
@@ -33,7 +35,7 @@
 	Leaf leaf
 }
 
-// wireDelta is the encoded form.
+// wireDelta is the encoded form of a Delta.
 type wireDelta struct {
 	_      struct{} `cbor:",toarray"`
 	Format int
@@ -44,11 +46,11 @@
 	Edits  []edit
 }
 
-// NewDelta gives what to send to a holder of a so that it holds b.
+// NewDelta returns the delta that turns a into b.
 func NewDelta(a, b *Document) *Delta {
 	d := &Delta{From: a.Revision, To: b.Revision, Base: a.digest, Result: b.digest}
 	for _, site := range sitesOf(a, b) {
-		d.edits = append(d.edits, editsOf(site, a.leaves(site), b.leaves(site))...)
+		d.edits = append(d.edits, diffLeaves(site, a.leaves(site), b.leaves(site))...)
 	}
 	return d
 }
@@ -60,8 +62,8 @@
 	return slices.Compact(sites)
 }
 
-// editsOf walks two sorted lists of leaves side by side.
-func editsOf(site api.Site, a, b []leaf) []edit {
+// diffLeaves returns the edits that turn a into b; both are sorted by path.
+func diffLeaves(site api.Site, a, b []leaf) []edit {
 	var out []edit
 	for len(a) > 0 || len(b) > 0 {
 		switch {
@@ -81,8 +83,8 @@
 	return out
 }
 
-// Paths lists the values that the delta sets or removes; those of an overlay
-// are spelled "site:path".
+// Paths returns the paths of the values that the delta sets or removes. Paths in
+// an overlay have the form "site:path".
 func (d *Delta) Paths() []string {
 	out := make([]string, 0, len(d.edits))
 	for _, e := range d.edits {
@@ -95,9 +97,10 @@
 	return out
 }
 
-// ApplyDelta gives the document after the delta; doc stays as it is. It gives
-// ErrWrongBase when doc is not what the delta was made against, or when the
-// result is not what its maker had.
+// ApplyDelta returns the document that results from applying d to doc, which is not
+// changed. It returns ErrWrongBase if doc has another revision or digest than the
+// document from which d was computed, or if the digest of the result is not the
+// one stated in d.
 func ApplyDelta(doc *Document, d *Delta) (*Document, error) {
 	if doc.Revision != d.From || doc.digest != d.Base {
 		return nil, fmt.Errorf("%w: hold revision %d (%s), delta wants %d (%s)", ErrWrongBase, doc.Revision, doc.digest, d.From, d.Base)
@@ -114,7 +117,7 @@
 	for site, edits := range bySite {
 		next.parts = append(next.parts, part{Site: site, Leaves: applyEdits(nil, edits)})
 	}
-	next.seal()
+	next.finalize()
 	if next.digest != d.Result {
 		return nil, fmt.Errorf("%w: result is %s, want %s", ErrWrongBase, next.digest, d.Result)
 	}
@@ -129,7 +132,7 @@
 	slices.SortStableFunc(edits, func(a, b edit) int { return cmp.Compare(a.Leaf.Path, b.Leaf.Path) })
 	out := make([]leaf, 0, len(leaves)+len(edits))
 	for _, e := range edits {
-		n, found := slices.BinarySearchFunc(leaves, e.Leaf, byPath)
+		n, found := slices.BinarySearchFunc(leaves, e.Leaf, comparePath)
 		out = append(out, leaves[:n]...)
 		leaves = leaves[n:]
 		if found {
@@ -142,19 +145,19 @@
 	return append(out, leaves...)
 }
 
-// EncodeDelta gives the bytes of a delta.
+// EncodeDelta returns the encoded form of d.
 func EncodeDelta(d *Delta) ([]byte, error) {
-	return encoding.Marshal(wireDelta{Format: Format, From: d.From, To: d.To, Base: d.Base[:], Result: d.Result[:], Edits: d.edits})
+	return encMode.Marshal(wireDelta{Format: Format, From: d.From, To: d.To, Base: d.Base[:], Result: d.Result[:], Edits: d.edits})
 }
 
-// DecodeDelta reads bytes that EncodeDelta gave. What the delta means is
-// checked by ApplyDelta, against the digest of the result.
+// DecodeDelta decodes the output of EncodeDelta. It does not check the edits:
+// ApplyDelta verifies the digest of the result.
 func DecodeDelta(b []byte) (*Delta, error) {
 	if len(b) > MaxDocumentBytes {
 		return nil, decodeError(fmt.Errorf("delta is longer than %s", Size(MaxDocumentBytes)))
 	}
 	var w wireDelta
-	if err := decoding.Unmarshal(b, &w); err != nil {
+	if err := decMode.Unmarshal(b, &w); err != nil {
 		return nil, decodeError(err)
 	}
 	if w.Format != Format {
--- a/core/fleetconfig/document.go
+++ b/core/fleetconfig/document.go
@@ -12,11 +12,11 @@
 	"almondseam.dev/core/codec"
 )
 
-// Format is the version of the encoding of documents and deltas. A reader
-// refuses any other one.
+// Format is the version of the encoding of documents and deltas. Decoders reject
+// any other version.
 const Format = 1
 
-// The bounds of an encoded document or delta.
+// Limits of an encoded document or delta.
 const (
 	MaxDocumentBytes = 32 << 20
 	maxLeaves        = 400_000
@@ -25,33 +25,36 @@
 	maxPathBytes     = 2 * MaxDocumentBytes
 )
 
-// Document is a base and all overlays as one artefact: what control
-// replicates and what nodes hold. It is immutable.
+// Document holds a base and all overlays. It is the unit that control members
+// replicate and distribute to instances. It is immutable.
 type Document struct {
-	// Revision under which control accepted it; zero before.
+	// Revision is the number under which the control group accepted the document;
+	// zero if it has not been accepted yet.
 	Revision api.Revision
 
-	parts  []part // the base first, then the sites by name
+	parts  []part // the base, followed by the overlays sorted by site
 	digest Digest
 }
 
-// part is one file: the base, whose site is empty, or the overlay of a site.
+// part holds the leaves of one file: the base, whose Site is empty, or the overlay of
+// a site.
 type part struct {
 	Site   api.Site
 	Leaves []leaf
 }
 
-// wirePart is the encoded form. Leaves are sorted by path, and each carries
-// only what its path does not share with the one before: without that, a fleet
-// of 1,700 customers takes more than half as much again.
+// wirePart is the encoded form of a part. Leaves are sorted by path, and each path
+// is encoded without the prefix that it shares with the path before it. Without
+// this compression, the document of a fleet with 1,700 customers is more than half
+// as large again.
 type wirePart struct {
 	_      struct{} `cbor:",toarray"`
 	Site   api.Site
 	Leaves []wireLeaf
 }
 
-// wireLeaf is a leaf whose path is the first Shared bytes of the last one's and
-// then Rest.
+// wireLeaf is the encoded form of a leaf. Its path consists of the first Shared bytes
+// of the previous leaf's path, followed by Rest.
 type wireLeaf struct {
 	_      struct{} `cbor:",toarray"`
 	Shared int
@@ -67,7 +70,7 @@
 		w := wirePart{Site: p.Site, Leaves: make([]wireLeaf, 0, len(p.Leaves))}
 		last := ""
 		for _, l := range p.Leaves {
-			n := sharedPrefix(last, l.Path)
+			n := sharedPrefixLen(last, l.Path)
 			w.Leaves = append(w.Leaves, wireLeaf{Shared: n, Rest: l.Path[n:], Kind: l.Kind, Text: l.Text, List: l.List})
 			last = l.Path
 		}
@@ -76,7 +79,7 @@
 	return out
 }
 
-func sharedPrefix(a, b string) int {
+func sharedPrefixLen(a, b string) int {
 	n := 0
 	for n < len(a) && n < len(b) && a[n] == b[n] {
 		n++
@@ -84,8 +87,9 @@
 	return n
 }
 
-// unpackParts bounds the paths' bytes over all: shared prefixes let a few bytes
-// stand for a long path, and a small document could fill the memory.
+// unpackParts decodes parts. It limits the total length of all paths, because shared
+// prefixes let a few bytes represent a long path, so that a small document could
+// otherwise exhaust the memory.
 func unpackParts(parts []wirePart) ([]part, error) {
 	out := make([]part, 0, len(parts))
 	total := 0
@@ -94,11 +98,11 @@
 		last := ""
 		for _, l := range w.Leaves {
 			if l.Shared < 0 || l.Shared > len(last) || l.Shared+len(l.Rest) > maxPath {
-				return nil, errLeaves
+				return nil, errInvalidLeaves
 			}
 			total += l.Shared + len(l.Rest)
 			if total > maxPathBytes {
-				return nil, errLeaves
+				return nil, errInvalidLeaves
 			}
 			last = last[:l.Shared] + l.Rest
 			p.Leaves = append(p.Leaves, leaf{Path: last, Kind: l.Kind, Text: l.Text, List: l.List})
@@ -108,13 +112,14 @@
 	return out, nil
 }
 
-// Digest identifies the content of a document, whatever its revision.
+// Digest is the SHA-256 digest of the content of a document, which does not include
+// its revision.
 type Digest [sha256.Size]byte
 
-// String gives the first 12 hex digits, enough for a person to compare.
+// String returns the first 12 hex digits, which suffice for comparison by a person.
 func (d Digest) String() string { return hex.EncodeToString(d[:6]) }
 
-// wireDocument is the encoded form.
+// wireDocument is the encoded form of a Document.
 type wireDocument struct {
 	_        struct{} `cbor:",toarray"`
 	Format   int
@@ -123,18 +128,18 @@
 }
 
 var (
-	encoding = codec.Encoder()
-	decoding = codec.Decoder(codec.Bounds{Nesting: 8, Items: maxLeaves, Pairs: 16, Strict: true})
+	encMode = codec.Encoder()
+	decMode = codec.Decoder(codec.Bounds{Nesting: 8, Items: maxLeaves, Pairs: 16, Strict: true})
 )
 
-// NewDocument reads a base and its overlays and checks the configuration of
-// every site, and that of the base alone.
+// NewDocument parses a base and its overlays. It validates the configuration of
+// every site that has an overlay and that of the base alone.
 func NewDocument(base File, overlays map[api.Site]File) (*Document, error) {
 	tree, problems := readYAML(base.Name, base.Data)
 	if len(problems) > 0 {
 		return nil, problems.asError()
 	}
-	fleet, err := build(tree)
+	fleet, err := buildFleet(tree)
 	if err != nil {
 		return nil, err
 	}
@@ -152,16 +157,16 @@
 		}
 		d.parts = append(d.parts, part{Site: site, Leaves: leavesOf(over)})
 	}
-	return d.seal(), nil
+	return d.finalize(), nil
 }
 
 func hasSite(f *Fleet, id api.Site) bool {
 	return slices.ContainsFunc(f.Sites, func(s Site) bool { return s.ID == id })
 }
 
-// seal puts the parts in canonical order, drops empty overlays and notes the
-// digest.
-func (d *Document) seal() *Document {
+// finalize removes empty overlays, sorts the parts into canonical order and computes
+// the digest.
+func (d *Document) finalize() *Document {
 	d.parts = slices.DeleteFunc(d.parts, func(p part) bool { return p.Site != "" && len(p.Leaves) == 0 })
 	slices.SortFunc(d.parts, func(a, b part) int { return bytes.Compare([]byte(a.Site), []byte(b.Site)) })
 	d.digest = digestOf(d.parts)
@@ -170,24 +175,24 @@
 
 func digestOf(parts []part) Digest {
 	h := sha256.New()
-	// The encoder fails on unsupported types alone, and parts hold none.
-	if err := encoding.NewEncoder(h).Encode(packParts(parts)); err != nil {
+	// The encoder fails only on unsupported types, which parts do not contain.
+	if err := encMode.NewEncoder(h).Encode(packParts(parts)); err != nil {
 		panic(err)
 	}
 	return Digest(h.Sum(nil))
 }
 
-// Digest identifies the content.
+// Digest returns the digest of the content.
 func (d *Document) Digest() Digest { return d.digest }
 
-// At gives the same content under the revision that control gave it.
+// At returns a document with the same content and the given revision.
 func (d *Document) At(rev api.Revision) *Document {
 	c := *d
 	c.Revision = rev
 	return &c
 }
 
-// Overlays lists the sites that have an overlay.
+// Overlays returns the sites that have an overlay.
 func (d *Document) Overlays() []api.Site {
 	var out []api.Site
 	for _, p := range d.parts {
@@ -198,8 +203,9 @@
 	return out
 }
 
-// Fleet gives the configuration in force at a site; the empty site, or one
-// without overlay, gets the base. Origins name the part alone.
+// Fleet returns the validated configuration of a site. For the empty site, or for a
+// site without an overlay, it returns that of the base. The origins contain only the
+// name of the part, without line and column.
 func (d *Document) Fleet(site api.Site) (*Fleet, Origins, error) {
 	fleet, tree, err := d.merge(site)
 	if err != nil {
@@ -209,7 +215,7 @@
 }
 
 func (d *Document) merge(site api.Site) (*Fleet, *node, error) {
-	base, over, err := d.trees(site)
+	base, over, err := d.siteTrees(site)
 	if err != nil {
 		return nil, nil, (Problems{{Pos: Pos{File: d.partName(site)}, Msg: err.Error()}}).asError()
 	}
@@ -228,7 +234,7 @@
 	return "site " + string(site)
 }
 
-func (d *Document) trees(site api.Site) (base, over *node, err error) {
+func (d *Document) siteTrees(site api.Site) (base, over *node, err error) {
 	base, err = treeOf(d.partName(""), d.leaves(""))
 	if err != nil || site == "" {
 		return base, nil, err
@@ -250,7 +256,7 @@
 	return nil
 }
 
-// Snapshot compiles the view of a site.
+// Snapshot returns the compiled configuration of a site.
 func (d *Document) Snapshot(site api.Site) (*Snapshot, error) {
 	f, _, err := d.merge(site)
 	if err != nil {
@@ -259,7 +265,8 @@
 	return Compile(f).At(d.Revision, site), nil
 }
 
-// Check builds the configuration of the base and of every site.
+// Check validates the configuration of the base and that of every site that has an
+// overlay.
 func (d *Document) Check() error {
 	fleet, _, err := d.merge("")
 	if err != nil {
@@ -276,14 +283,14 @@
 	return nil
 }
 
-// EncodeDocument gives the canonical bytes: equal content and revision give
-// equal bytes.
+// EncodeDocument returns the canonical encoding of d: documents with equal content
+// and revision have equal encodings.
 func EncodeDocument(d *Document) ([]byte, error) {
-	return encoding.Marshal(wireDocument{Format: Format, Revision: d.Revision, Parts: packParts(d.parts)})
+	return encMode.Marshal(wireDocument{Format: Format, Revision: d.Revision, Parts: packParts(d.parts)})
 }
 
-// DecodeDocument reads bytes that EncodeDocument gave. It refuses any other
-// spelling of a document, and one whose configuration Check refuses.
+// DecodeDocument decodes the output of EncodeDocument. It rejects a document that is
+// not encoded in canonical form or whose configuration does not pass Check.
 func DecodeDocument(b []byte) (*Document, error) {
 	d, err := ReadDocument(b)
 	if err != nil {
@@ -292,22 +299,22 @@
 	if err := d.Check(); err != nil {
 		return nil, err
 	}
-	again, err := EncodeDocument(&Document{Revision: d.Revision, parts: d.canonical()})
-	if err != nil || !bytes.Equal(again, b) {
-		return nil, decodeError(errLeaves)
+	canonical, err := EncodeDocument(&Document{Revision: d.Revision, parts: d.canonicalParts()})
+	if err != nil || !bytes.Equal(canonical, b) {
+		return nil, decodeError(errInvalidLeaves)
 	}
 	return d, nil
 }
 
-// ReadDocument is DecodeDocument for a process that takes what control has
-// accepted: it leaves out the checks of sites other than its own, whose Fleet
-// makes its own checks.
+// ReadDocument decodes a document that the control group has already accepted. Unlike
+// DecodeDocument, it checks neither the canonical form nor the configuration of any
+// site: the receiving process uses one site only, which Fleet and Snapshot validate.
 func ReadDocument(b []byte) (*Document, error) {
 	if len(b) > MaxDocumentBytes {
 		return nil, decodeError(fmt.Errorf("document is longer than %s", Size(MaxDocumentBytes)))
 	}
 	var w wireDocument
-	if err := decoding.Unmarshal(b, &w); err != nil {
+	if err := decMode.Unmarshal(b, &w); err != nil {
 		return nil, decodeError(err)
 	}
 	if w.Format != Format {
@@ -323,9 +330,10 @@
 	return &Document{Revision: w.Revision, parts: parts, digest: digestOf(parts)}, nil
 }
 
-// canonical spells the parts anew from their trees. Two spellings of one
-// content would have two digests, and a delta for one would not fit the other.
-func (d *Document) canonical() []part {
+// canonicalParts returns the parts in canonical form, rebuilt from their trees, or nil
+// if they form no tree. Two encodings of the same content would have different
+// digests, and a delta computed from one could not be applied to the other.
+func (d *Document) canonicalParts() []part {
 	c := &Document{}
 	for _, p := range d.parts {
 		tree, err := treeOf("", p.Leaves)
@@ -334,10 +342,11 @@
 		}
 		c.parts = append(c.parts, part{Site: p.Site, Leaves: leavesOf(tree)})
 	}
-	return c.seal().parts
+	return c.finalize().parts
 }
 
-// SiteOf gives the site that an availability zone belongs to.
+// SiteOf returns the site that an availability zone belongs to, according to the
+// base.
 func (d *Document) SiteOf(zone api.Zone) (api.Site, bool) {
 	for _, l := range d.leaves("") {
 		site, isZones := strings.CutSuffix(l.Path, "].zones")
--- a/core/fleetconfig/errors.go
+++ b/core/fleetconfig/errors.go
@@ -9,14 +9,14 @@
 	"almondseam.dev/core/api"
 )
 
-// Pos is a place in a file; Line and Col count from 1, zero means unknown.
+// Pos is a position in a file. Line and Col start at 1; zero means unknown.
 type Pos struct {
 	File string
 	Line int
 	Col  int
 }
 
-// String gives "file:line:col" without the unknown parts.
+// String returns "file:line:col" without the parts that are unknown.
 func (p Pos) String() string {
 	switch {
 	case p.Line == 0:
@@ -28,15 +28,15 @@
 	}
 }
 
-// Problem is one fault of a configuration. Path spells the value as
-// "customers[atlas].weight" and may be empty.
+// Problem is one error in a configuration. Path is the path of the value, such as
+// "customers[atlas].weight", and may be empty.
 type Problem struct {
 	Pos  Pos
 	Path string
 	Msg  string
 }
 
-// String gives "file:line:col: path: message".
+// String returns "file:line:col: path: message", without the path if it is empty.
 func (p Problem) String() string {
 	if p.Path == "" {
 		return p.Pos.String() + ": " + p.Msg
@@ -44,10 +44,10 @@
 	return p.Pos.String() + ": " + p.Path + ": " + p.Msg
 }
 
-// Problems lists every fault found, by file and line.
+// Problems lists the errors found in a configuration.
 type Problems []Problem
 
-// Error gives one problem a line.
+// Error returns the problems, one per line.
 func (p Problems) Error() string {
 	lines := make([]string, 0, len(p))
 	for _, one := range p {
@@ -56,8 +56,8 @@
 	return strings.Join(lines, "\n")
 }
 
-// asError gives nil without problems, else the project's error with the
-// problems, sorted, as its cause and the first file as its peer.
+// asError returns nil if p is empty. Otherwise it sorts p by position and returns an
+// *api.Error with p as its cause and the file of the first problem as its peer.
 func (p Problems) asError() error {
 	if len(p) == 0 {
 		return nil
--- a/core/fleetconfig/leaf.go
+++ b/core/fleetconfig/leaf.go
@@ -10,9 +10,9 @@
 	"strings"
 )
 
-// leaf is one value of a file in canonical form: its path, its type and its
-// text, or its texts when it is a list of strings. Files compare, travel and
-// change as sorted sets of leaves; comments, order and places stay behind.
+// leaf is one value of a file in canonical form: its path, its type and its text,
+// or the texts of a list of strings. Files are compared, encoded and updated as
+// sorted lists of leaves, which contain no comments, order of keys or positions.
 type leaf struct {
 	_    struct{} `cbor:",toarray"`
 	Path string
@@ -25,13 +25,13 @@
 	return l.Path == o.Path && l.Kind == o.Kind && l.Text == o.Text && slices.Equal(l.List, o.List)
 }
 
-func byPath(a, b leaf) int { return cmp.Compare(a.Path, b.Path) }
+func comparePath(a, b leaf) int { return cmp.Compare(a.Path, b.Path) }
 
-// leavesOf gives a checked tree as sorted leaves.
+// leavesOf returns the leaves of a validated tree, sorted by path.
 func leavesOf(tree *node) []leaf {
 	var out []leaf
 	collectLeaves(tree, "", &out)
-	slices.SortFunc(out, byPath)
+	slices.SortFunc(out, comparePath)
 	return out
 }
 
@@ -42,15 +42,16 @@
 			collectLeaves(f.val, join(path, f.key), out)
 		}
 	case kindList:
-		collectList(n, path, out)
+		collectListLeaves(n, path, out)
 	default:
 		*out = append(*out, leaf{Path: path, Kind: n.kind, Text: n.text})
 	}
 }
 
-// collectList descends into named items and keeps a list of strings whole. An
-// empty list of items leaves no leaf: it says the same as none.
-func collectList(n *node, path string, out *[]leaf) {
+// collectListLeaves appends the leaves of each named item, or a single leaf for a list
+// of strings. An empty list of named items yields no leaf, because it is equivalent
+// to an absent list.
+func collectListLeaves(n *node, path string, out *[]leaf) {
 	named := len(n.items) > 0 && n.items[0].kind == kindMap
 	if named {
 		for _, it := range n.items {
@@ -69,7 +70,7 @@
 	*out = append(*out, leaf{Path: path, Kind: kindList, List: texts})
 }
 
-// namedLists holds the schema paths of the lists whose items have ids.
+// namedLists holds the schema paths of the lists of named items.
 var namedLists = findNamedLists(reflect.TypeFor[Fleet](), "")
 
 func findNamedLists(t reflect.Type, path string) map[string]bool {
@@ -89,7 +90,8 @@
 	return out
 }
 
-// schemaPath takes the ids out of a path.
+// schemaPath returns path without the ids of items: "customers[atlas].weight" becomes
+// "customers.weight".
 func schemaPath(path string) string {
 	var out strings.Builder
 	open := false
@@ -106,59 +108,59 @@
 	return out.String()
 }
 
-// errLeaves: the leaves form no tree.
-var errLeaves = errors.New("values do not form a configuration")
+// errInvalidLeaves means that the leaves form no valid tree, or no canonical one.
+var errInvalidLeaves = errors.New("values do not form a configuration")
 
-// treeOf rebuilds a tree from sorted leaves; file names the origin of each.
-// Leaves of one item stand together, as they share a prefix, so only the last
-// item of a list is ever continued.
+// treeOf rebuilds a tree from sorted leaves; file is the file name in the position of
+// every node. The leaves of one item are adjacent, because they share a prefix, so
+// that leaves are added only to the last item of a list.
 func treeOf(file string, leaves []leaf) (*node, error) {
 	pos := Pos{File: file}
 	root := &node{kind: kindMap, pos: pos}
 	for i, l := range leaves {
 		if i > 0 && leaves[i-1].Path >= l.Path {
-			return nil, fmt.Errorf("%w: %q is out of order", errLeaves, l.Path)
+			return nil, fmt.Errorf("%w: %q is out of order", errInvalidLeaves, l.Path)
 		}
-		if err := plant(root, l, pos); err != nil {
+		if err := insertLeaf(root, l, pos); err != nil {
 			return nil, err
 		}
 	}
 	return root, nil
 }
 
-func plant(root *node, l leaf, pos Pos) error {
-	at := root
+func insertLeaf(root *node, l leaf, pos Pos) error {
+	parent := root
 	rest := l.Path
 	for depth := 0; ; depth++ {
 		seg, tail, more := cutSegment(rest)
 		key, id, isItem := splitSegment(seg)
 		if key == "" || depth > maxDepth || more && tail == "" {
-			return fmt.Errorf("%w: bad path %q", errLeaves, l.Path)
+			return fmt.Errorf("%w: bad path %q", errInvalidLeaves, l.Path)
 		}
 		if !more {
-			if key == idKey && l.Kind == kindString && at.get(key).sameText(l.Text) {
-				return nil // descend put it there
+			if key == idKey && l.Kind == kindString && parent.get(key).isString(l.Text) {
+				return nil // childNode has added the id already
 			}
-			if isItem || at.get(key) != nil {
-				return fmt.Errorf("%w: bad path %q", errLeaves, l.Path)
+			if isItem || parent.get(key) != nil {
+				return fmt.Errorf("%w: bad path %q", errInvalidLeaves, l.Path)
 			}
 			val, err := leafNode(l, pos)
 			if err != nil {
 				return err
 			}
-			at.fields = append(at.fields, field{key: key, pos: pos, val: val})
+			parent.fields = append(parent.fields, field{key: key, pos: pos, val: val})
 			return nil
 		}
-		next, err := descend(at, key, id, isItem, pos)
+		next, err := childNode(parent, key, id, isItem, pos)
 		if err != nil {
 			return fmt.Errorf("%w: %q", err, l.Path)
 		}
-		at, rest = next, tail
+		parent, rest = next, tail
 	}
 }
 
-// cutSegment splits "customers[a.b].weight" into its first segment and the
-// rest; a dot inside brackets belongs to the item's id.
+// cutSegment splits a path such as "customers[a.b].weight" into its first segment and
+// the rest. A dot inside brackets belongs to the id of an item.
 func cutSegment(path string) (seg, rest string, more bool) {
 	open := false
 	for i := range len(path) {
@@ -188,27 +190,27 @@
 	return key, id, true
 }
 
-func descend(at *node, key, id string, isItem bool, pos Pos) (*node, error) {
+func childNode(parent *node, key, id string, isItem bool, pos Pos) (*node, error) {
 	want := kindMap
 	if isItem {
 		want = kindList
 	}
-	next := at.get(key)
+	next := parent.get(key)
 	if next == nil {
 		next = &node{kind: want, pos: pos}
-		at.fields = append(at.fields, field{key: key, pos: pos, val: next})
+		parent.fields = append(parent.fields, field{key: key, pos: pos, val: next})
 	}
 	if next.kind != want {
-		return nil, errLeaves
+		return nil, errInvalidLeaves
 	}
 	if !isItem {
 		return next, nil
 	}
 	if n := len(next.items); n > 0 {
 		if next.items[n-1].kind != kindMap {
-			return nil, errLeaves
+			return nil, errInvalidLeaves
 		}
-		if have, _ := next.items[n-1].id(); have == id {
+		if lastID, _ := next.items[n-1].id(); lastID == id {
 			return next.items[n-1], nil
 		}
 	}
@@ -218,7 +220,7 @@
 	return it, nil
 }
 
-func (n *node) sameText(s string) bool { return n != nil && n.kind == kindString && n.text == s }
+func (n *node) isString(s string) bool { return n != nil && n.kind == kindString && n.text == s }
 
 func leafNode(l leaf, pos Pos) (*node, error) {
 	switch l.Kind {
@@ -231,6 +233,6 @@
 		}
 		return n, nil
 	default:
-		return nil, fmt.Errorf("%w: %q has no type", errLeaves, l.Path)
+		return nil, fmt.Errorf("%w: %q has no type", errInvalidLeaves, l.Path)
 	}
 }
--- a/core/fleetconfig/merge.go
+++ b/core/fleetconfig/merge.go
@@ -5,14 +5,15 @@
 	"reflect"
 )
 
-// Origins gives the place of each value of a merged configuration by its path.
-// A path that is missing was filled in by a default.
+// Origins maps the path of each value of a merged configuration to the position that
+// the value was read from. A value that was set to its default has no entry.
 type Origins map[string]Pos
 
-// Merge reads a base file and a site's overlay and gives the configuration in
-// force at that site. An overlay changes values that the base has room for, by
-// the same schema, and takes a named item away by remove: true; it adds no
-// item, since one that is misspelled would be added unseen instead of changed.
+// Merge parses a base file and a site's overlay and returns the configuration in
+// force at that site. An overlay has the same schema as the base. It may set values
+// that are not fleet-wide and remove named items by remove: true. It cannot add items,
+// because a misspelled id would then silently add an item instead of changing the
+// intended one.
 func Merge(base, overlay File) (*Fleet, Origins, error) {
 	baseTree, problems := readYAML(base.Name, base.Data)
 	overTree, more := readOverlay(overlay)
@@ -29,12 +30,12 @@
 
 func originsOf(tree *node) Origins {
 	out := Origins{}
-	collectPlaces(tree, "", out)
+	collectPositions(tree, "", out)
 	return out
 }
 
-// Redundant lists the values of an overlay that equal the base: an overlay
-// that repeats the base hides a later change there.
+// Redundant returns the values of an overlay that are equal to those of the base. Such
+// a value would mask a later change of the base.
 func Redundant(base, overlay File) (Problems, error) {
 	baseTree, problems := readYAML(base.Name, base.Data)
 	overTree, more := readOverlay(overlay)
@@ -43,11 +44,11 @@
 		return nil, problems.asError()
 	}
 	m := &merger{}
-	m.structure(baseTree, overTree, "", reflect.TypeFor[Fleet]())
-	return m.same, nil
+	m.mergeStruct(baseTree, overTree, "", reflect.TypeFor[Fleet]())
+	return m.redundant, nil
 }
 
-// readOverlay parses an overlay and checks the types of what it holds.
+// readOverlay parses an overlay and validates its values by the schema.
 func readOverlay(overlay File) (*node, Problems) {
 	tree, problems := readYAML(overlay.Name, overlay.Data)
 	if len(problems) > 0 {
@@ -57,39 +58,39 @@
 }
 
 func checkOverlay(tree *node) Problems {
-	d := &decoder{partial: true}
-	d.structure(tree, "", reflect.ValueOf(&Fleet{}).Elem())
+	d := &decoder{overlay: true}
+	d.decodeStruct(tree, "", reflect.ValueOf(&Fleet{}).Elem())
 	return d.problems
 }
 
-// mergeTrees merges an overlay whose types were checked and checks the result,
-// which it gives with its tree. Neither tree is changed; overlay may be nil.
+// mergeTrees merges a checked overlay into base and returns the validated result
+// together with its tree. It changes neither argument; overlay may be nil.
 func mergeTrees(base, overlay *node) (*Fleet, *node, error) {
 	tree := base
 	if overlay != nil {
 		m := &merger{}
 		tree = base.clone()
-		m.structure(tree, overlay, "", reflect.TypeFor[Fleet]())
+		m.mergeStruct(tree, overlay, "", reflect.TypeFor[Fleet]())
 		if len(m.problems) > 0 {
 			return nil, nil, m.problems.asError()
 		}
 	}
-	fleet, err := build(tree)
+	fleet, err := buildFleet(tree)
 	if err != nil {
 		return nil, nil, err
 	}
 	return fleet, tree, nil
 }
 
-// merger changes a base tree by an overlay, guided by the schema's types.
+// merger applies an overlay to a base tree according to the types of the schema.
 type merger struct {
-	problems Problems
-	same     Problems
+	problems  Problems
+	redundant Problems
 }
 
-func (m *merger) structure(base, over *node, path string, t reflect.Type) {
+func (m *merger) mergeStruct(base, over *node, path string, t reflect.Type) {
 	if base.kind != kindMap {
-		return // the base's own check reports it
+		return // buildFleet reports the wrong type
 	}
 	for i := range t.NumField() {
 		f := t.Field(i)
@@ -98,50 +99,51 @@
 		if change == nil || key == idKey {
 			continue
 		}
-		m.value(base, change, key, join(path, key), f.Type)
+		m.mergeValue(base, change, key, join(path, key), f.Type)
 	}
 }
 
-func (m *merger) value(parent, change *node, key, path string, t reflect.Type) {
-	have := parent.get(key)
+func (m *merger) mergeValue(parent, change *node, key, path string, t reflect.Type) {
+	current := parent.get(key)
 	switch {
 	case t.Kind() == reflect.Struct:
-		if have == nil {
-			have = &node{kind: kindMap, pos: change.pos}
-			parent.set(key, change.pos, have)
+		if current == nil {
+			current = &node{kind: kindMap, pos: change.pos}
+			parent.set(key, change.pos, current)
 		}
-		m.structure(have, change, path, t)
+		m.mergeStruct(current, change, path, t)
 	case t.Kind() == reflect.Slice && t.Elem().Kind() == reflect.Struct:
-		m.named(have, change, path, t.Elem())
+		m.mergeItems(current, change, path, t.Elem())
 	default:
-		if have != nil && have.equal(change) {
-			m.same = append(m.same, Problem{Pos: change.pos, Path: path, Msg: "repeats the base"})
+		if current != nil && current.equal(change) {
+			m.redundant = append(m.redundant, Problem{Pos: change.pos, Path: path, Msg: "repeats the base"})
 		}
 		parent.set(key, change.pos, change.clone())
 	}
 }
 
-func (m *merger) named(have, change *node, path string, elem reflect.Type) {
+func (m *merger) mergeItems(current, change *node, path string, elem reflect.Type) {
 	for _, it := range change.items {
 		id, _ := it.id()
 		at := joinItem(path, id)
-		i, target := -1, (*node)(nil)
-		if have != nil {
-			i, target = have.item(id)
+		i, item := -1, (*node)(nil)
+		if current != nil {
+			i, item = current.findItem(id)
 		}
-		if target == nil {
+		if item == nil {
 			m.problems = append(m.problems, Problem{Pos: it.pos, Path: at, Msg: fmt.Sprintf("the base has no %q; an overlay changes or removes, it adds nothing", id)})
 			continue
 		}
 		if it.get(removeKey) != nil {
-			have.items = append(have.items[:i], have.items[i+1:]...)
+			current.items = append(current.items[:i], current.items[i+1:]...)
 			continue
 		}
-		m.structure(target, it, at, elem)
+		m.mergeStruct(item, it, at, elem)
 	}
 }
 
-// equal compares kinds and values, not places.
+// equal reports whether n and o have the same kinds and values, regardless of
+// positions.
 func (n *node) equal(o *node) bool {
 	if n.kind != o.kind || n.text != o.text || len(n.items) != len(o.items) || len(n.fields) != len(o.fields) {
 		return false
--- a/core/fleetconfig/parse.go
+++ b/core/fleetconfig/parse.go
@@ -1,42 +1,42 @@
-// Package fleetconfig reads, merges, checks and distributes the fleet's
-// configuration: one base file and an overlay for each site that changes only
-// what differs there.
+// Package fleetconfig parses, merges, validates and encodes the fleet's
+// configuration, which consists of a base file and of overlay files for the sites
+// that differ from it.
 //
-// A file goes through three forms: text, a tree of values with their places,
-// and a Fleet. Merging works on the tree, so that every merged value keeps the
-// place it came from, and what is refused is refused with file, line, column
-// and path. Everything here is pure and safe for concurrent use; a Snapshot
-// never changes after Compile.
+// A file is parsed into a tree of values with their positions, which is then decoded
+// into a Fleet. Merging works on trees, so that every merged value keeps its
+// position and errors are reported with file, line, column and path. Except for
+// Live, which holds the snapshot in force, nothing in this package has side effects,
+// and everything is safe for concurrent use; a Snapshot is immutable after Compile.
 package fleetconfig
 
 import (
 	"reflect"
 )
 
-// defaultOrigin stands for a file in the origin of a value left out everywhere.
+// defaultOrigin replaces the file name in the origin of a value that no file sets.
 const defaultOrigin = "default"
 
-// File is one configuration file; Name is used in errors and origins alone.
+// File is one configuration file. Name is used only in errors and origins.
 type File struct {
 	Name string
 	Data []byte
 }
 
-// Parse reads a base file alone, fills in the defaults and checks it. Its
-// error is an *api.Error whose cause is Problems.
+// Parse parses a base file without an overlay, applies the defaults and validates the
+// result. A returned error is an *api.Error whose cause is of type Problems.
 func Parse(base File) (*Fleet, error) {
 	tree, problems := readYAML(base.Name, base.Data)
 	if len(problems) > 0 {
 		return nil, problems.asError()
 	}
-	return build(tree)
+	return buildFleet(tree)
 }
 
-// build decodes and checks a complete tree.
-func build(tree *node) (*Fleet, error) {
+// buildFleet decodes and validates the tree of a base or of a merged configuration.
+func buildFleet(tree *node) (*Fleet, error) {
 	fleet := &Fleet{}
 	d := &decoder{}
-	d.structure(tree, "", reflect.ValueOf(fleet).Elem())
+	d.decodeStruct(tree, "", reflect.ValueOf(fleet).Elem())
 	if len(d.problems) > 0 {
 		return nil, d.problems.asError()
 	}
--- a/core/fleetconfig/reference.go
+++ b/core/fleetconfig/reference.go
@@ -13,7 +13,7 @@
 //go:embed types.go
 var typesSource string
 
-const referenceHead = `# Configuration reference
+const referenceIntro = `# Configuration reference
 
 This page is generated from the comments in core/fleetconfig/types.go by
 ` + "`almondctl config reference`" + `; a test compares them.
@@ -35,20 +35,20 @@
   16 levels.
 `
 
-// Reference writes the reference page in Markdown: one table for each section,
-// one row for each key, from the comments and tags of the types.
+// Reference returns the reference page in Markdown, generated from the comments and
+// tags of the types: one table per section with one row per key.
 func Reference() (string, error) {
 	comments, err := fieldComments()
 	if err != nil {
 		return "", err
 	}
 	var b strings.Builder
-	b.WriteString(referenceHead)
+	b.WriteString(referenceIntro)
 	writeSection(&b, comments, reflect.TypeFor[Fleet](), "")
 	return b.String(), nil
 }
 
-// fieldComments gives each type's and field's comment under "Type" and
+// fieldComments returns the comments of all types and fields, with the keys "Type" and
 // "Type.Field".
 func fieldComments() (map[string]string, error) {
 	file, err := parser.ParseFile(token.NewFileSet(), "types.go", typesSource, parser.ParseComments)
@@ -106,10 +106,10 @@
 	if f.Tag.Get(tagRequired) != "" {
 		def = "*required*"
 	}
-	fmt.Fprintf(b, "| `%s` | %s | %s | %s | %s |\n", f.Tag.Get(tagKey), typeName(f.Type), def, allowed(f.Tag), comment)
+	fmt.Fprintf(b, "| `%s` | %s | %s | %s | %s |\n", f.Tag.Get(tagKey), typeName(f.Type), def, allowedValues(f.Tag), comment)
 }
 
-func allowed(tag reflect.StructTag) string {
+func allowedValues(tag reflect.StructTag) string {
 	var parts []string
 	if e := tag.Get(tagEnum); e != "" {
 		parts = append(parts, strings.ReplaceAll(e, ",", ", "))
--- a/core/fleetconfig/render.go
+++ b/core/fleetconfig/render.go
@@ -10,51 +10,53 @@
 	"strings"
 )
 
-// originColumn is where Render puts origins on lines that are short enough.
+// originColumn is the column at which Render writes the origin of a value. On a longer
+// line the origin follows the value.
 const originColumn = 48
 
-// renderer writes a Fleet as YAML with the origin of each value as a comment.
+// renderer writes a Fleet as YAML, with the origin of each value as a comment.
 type renderer struct {
 	out     strings.Builder
 	origins Origins
 }
 
-// Render writes the merged configuration, defaults included, as YAML that
-// Parse reads back to an equal Fleet. Each value carries its origin as a
-// comment: "file:line", or "default".
+// Render returns the merged configuration, including defaults, as YAML that Parse
+// decodes to an equal Fleet. The comment after each value is its origin: "file:line"
+// or "default".
 func Render(f *Fleet, origins Origins) string {
 	r := &renderer{origins: origins}
-	r.structure(reflect.ValueOf(f).Elem(), "", "", "")
+	r.renderStruct(reflect.ValueOf(f).Elem(), "", "", "")
 	return r.out.String()
 }
 
-// structure writes the fields; first goes before the first line, indent before
-// the others.
-func (r *renderer) structure(v reflect.Value, path, first, indent string) {
-	lead := first
+// renderStruct writes the fields of v. It writes first before the first line and indent
+// before each of the others.
+func (r *renderer) renderStruct(v reflect.Value, path, first, indent string) {
+	prefix := first
 	for i := range v.NumField() {
 		f := v.Type().Field(i)
 		key := f.Tag.Get(tagKey)
 		at := join(path, key)
 		field := v.Field(i)
 		switch {
-		case isZeroUnset(field, f.Tag):
+		case isOmitted(field, f.Tag):
 			continue
 		case field.Kind() == reflect.Struct:
-			r.out.WriteString(lead + key + ":\n")
-			r.structure(field, at, indent+"  ", indent+"  ")
+			r.out.WriteString(prefix + key + ":\n")
+			r.renderStruct(field, at, indent+"  ", indent+"  ")
 		case field.Kind() == reflect.Slice && field.Type().Elem().Kind() == reflect.Struct:
-			r.out.WriteString(lead + key + ":\n")
-			r.named(field, at, indent+"  ")
+			r.out.WriteString(prefix + key + ":\n")
+			r.renderItems(field, at, indent+"  ")
 		default:
-			r.line(lead+key+": "+format(field), at)
+			r.line(prefix+key+": "+formatValue(field), at)
 		}
-		lead = indent
+		prefix = indent
 	}
 }
 
-// isZeroUnset leaves out what is absent and has no default.
-func isZeroUnset(v reflect.Value, tag reflect.StructTag) bool {
+// isOmitted reports whether v is unset and its key has no default, so that it is not
+// rendered.
+func isOmitted(v reflect.Value, tag reflect.StructTag) bool {
 	if _, ok := tag.Lookup(tagDefault); ok {
 		return false
 	}
@@ -64,21 +66,21 @@
 	return v.Kind() != reflect.Struct && v.IsZero()
 }
 
-func (r *renderer) named(list reflect.Value, path, indent string) {
+func (r *renderer) renderItems(list reflect.Value, path, indent string) {
 	for i := range list.Len() {
 		it := list.Index(i)
-		r.structure(it, joinItem(path, itemID(it)), indent+"- ", indent+"  ")
+		r.renderStruct(it, joinItem(path, itemID(it)), indent+"- ", indent+"  ")
 	}
 }
 
-// itemID gives the name of a list item; the schema puts it first.
+// itemID returns the id of a list item, which is the first field of its type.
 func itemID(item reflect.Value) string { return item.Field(0).String() }
 
 func (r *renderer) line(text, path string) {
 	fmt.Fprintf(&r.out, "%-*s # %s\n", originColumn, text, r.origins.line(path))
 }
 
-// line gives "file:line" for a path, or "default".
+// line returns the origin of path as "file:line", or "default".
 func (o Origins) line(path string) string {
 	pos, ok := o[path]
 	if !ok {
@@ -88,16 +90,16 @@
 	return pos.String()
 }
 
-// Value is one value in force, with its origin as Render shows it.
+// Value is one value in force, with its origin in the form that Render uses.
 type Value struct {
 	Path   string `json:"path"`
 	Value  string `json:"value"`
 	Origin string `json:"origin"`
 }
 
-// Values lists what Render shows, by path.
+// Values returns the values that Render writes, sorted by path.
 func Values(f *Fleet, origins Origins) []Value {
-	values := flat(f)
+	values := valuesByPath(f)
 	out := make([]Value, 0, len(values))
 	for _, path := range slices.Sorted(maps.Keys(values)) {
 		out = append(out, Value{Path: path, Value: values[path], Origin: origins.line(path)})
@@ -105,8 +107,8 @@
 	return out
 }
 
-// format writes one value as YAML.
-func format(v reflect.Value) string {
+// formatValue returns one value as YAML.
+func formatValue(v reflect.Value) string {
 	switch {
 	case v.Kind() == reflect.Slice:
 		parts := make([]string, 0, v.Len())
@@ -121,10 +123,10 @@
 	}
 }
 
-// plainWords read as something other than a string when they stand unquoted.
-var plainWords = []string{"true", "false", "null", "yes", "no", "on", "off", "y", "n"}
+// reservedWords are not read as strings by every YAML parser when they are unquoted.
+var reservedWords = []string{"true", "false", "null", "yes", "no", "on", "off", "y", "n"}
 
-// quote writes a string so that YAML reads it back as that string.
+// quote returns s as a YAML string, in quotes if necessary.
 func quote(s string) string {
 	if isPlain(s) {
 		return s
@@ -132,30 +134,31 @@
 	return strconv.Quote(s)
 }
 
-// isPlain allows a letter first, then letters, digits, '-', '_', '.' and '/'.
+// isPlain reports whether s needs no quotes: it is a valid id that starts with a letter
+// and is not a reserved word.
 func isPlain(s string) bool {
 	first := s != "" && (s[0]|0x20 >= 'a' && s[0]|0x20 <= 'z')
-	return first && validID(s) && !slices.Contains(plainWords, strings.ToLower(s))
+	return first && validID(s) && !slices.Contains(reservedWords, strings.ToLower(s))
 }
 
-// Change is one difference between two configurations. Old is empty for a
-// value that is new and New for one that is gone.
+// Change is one difference between two configurations. Old is empty if the value was
+// added, New is empty if it was removed.
 type Change struct {
 	Path string
 	Old  string
 	New  string
 }
 
-// String gives "path: old -> new".
+// String returns "path: old -> new".
 func (c Change) String() string {
 	const none = "(none)"
 	return c.Path + ": " + cmp.Or(c.Old, none) + " -> " + cmp.Or(c.New, none)
 }
 
-// Diff lists what b changes against a, by path. It compares values in force,
-// so a value spelled in another unit is no change.
+// Diff returns the differences between a and b, sorted by path. It compares decoded
+// values, so that the same value written in another unit is not a change.
 func Diff(a, b *Fleet) []Change {
-	before, after := flat(a), flat(b)
+	before, after := valuesByPath(a), valuesByPath(b)
 	paths := map[string]bool{}
 	for p := range before {
 		paths[p] = true
@@ -172,7 +175,7 @@
 	return out
 }
 
-func flat(f *Fleet) map[string]string {
+func valuesByPath(f *Fleet) map[string]string {
 	out := map[string]string{}
 	flatten(reflect.ValueOf(f).Elem(), "", out)
 	return out
@@ -184,7 +187,7 @@
 		at := join(path, f.Tag.Get(tagKey))
 		field := v.Field(i)
 		switch {
-		case isZeroUnset(field, f.Tag):
+		case isOmitted(field, f.Tag):
 		case field.Kind() == reflect.Struct:
 			flatten(field, at, out)
 		case field.Kind() == reflect.Slice && field.Type().Elem().Kind() == reflect.Struct:
@@ -192,7 +195,7 @@
 				flatten(field.Index(j), joinItem(at, itemID(field.Index(j))), out)
 			}
 		default:
-			out[at] = format(field)
+			out[at] = formatValue(field)
 		}
 	}
 }
--- a/core/fleetconfig/snapshot.go
+++ b/core/fleetconfig/snapshot.go
@@ -12,16 +12,17 @@
 	"almondseam.dev/core/api"
 )
 
-// KindHeader is the request header whose value a Kind may match.
+// KindHeader is the request header that is compared with Kind.Header.
 const KindHeader = "x-almondseam-kind"
 
-// Snapshot is an immutable view of the configuration in force, indexed for the
-// request path. Any number of goroutines may read it. What its methods return
-// is shared: callers must not change it.
+// Snapshot is an immutable configuration, indexed for lookups on the request path.
+// It is safe for concurrent use. The values that its methods return are shared:
+// callers must not change them.
 type Snapshot struct {
-	// Revision of the document it was compiled from; zero for a local file.
+	// Revision is that of the document from which the snapshot was compiled; zero
+	// for a local file.
 	Revision api.Revision
-	// Site whose overlay is merged in; empty for the base alone.
+	// Site is the site whose overlay is included; empty for the base alone.
 	Site api.Site
 
 	fleet     *Fleet
@@ -39,8 +40,8 @@
 	customer *Customer
 }
 
-// Compile builds the view of a Fleet that Parse, Merge or a Document gave. It
-// takes the Fleet over: the caller must not change it afterwards.
+// Compile returns a snapshot of a Fleet that was returned by Parse, Merge or
+// Document.Fleet. The caller must not change the Fleet afterwards.
 func Compile(f *Fleet) *Snapshot {
 	s := &Snapshot{
 		fleet:     f,
@@ -77,7 +78,8 @@
 	s.customers[c.ID] = c
 	for _, k := range c.Keys {
 		var sum [sha256.Size]byte
-		// Keys were checked to be whole sums; one that is not can't match.
+		// Validation has ensured that each key is a complete SHA-256 sum. Any other
+		// key could never match.
 		if n, err := hex.Decode(sum[:], []byte(k)); err != nil || n != len(sum) {
 			continue
 		}
@@ -88,7 +90,7 @@
 
 func keyBucket(sum [sha256.Size]byte) uint64 { return binary.BigEndian.Uint64(sum[:8]) }
 
-// At gives the same view marked with its revision and site.
+// At returns a copy of s with the given revision and site.
 func (s *Snapshot) At(rev api.Revision, site api.Site) *Snapshot {
 	c := *s
 	c.Revision = rev
@@ -96,9 +98,9 @@
 	return &c
 }
 
-// CustomerByKey finds the customer that an API key belongs to. The key is
-// hashed before any comparison and the sums are compared in constant time, so
-// timing tells a caller nothing of other keys.
+// CustomerByKey returns the customer that an API key belongs to. The key is hashed
+// before any comparison and the sums are compared in constant time, so that the
+// response time reveals nothing about other keys.
 func (s *Snapshot) CustomerByKey(key string) (*Customer, bool) {
 	sum := sha256.Sum256([]byte(key))
 	for i := range s.keys[keyBucket(sum)] {
@@ -110,39 +112,40 @@
 	return nil, false
 }
 
-// KeySum gives the spelling of an API key in the configuration.
+// KeySum returns the form in which the configuration holds an API key: its SHA-256 sum
+// in lowercase hexadecimal digits.
 func KeySum(key string) string {
 	sum := sha256.Sum256([]byte(key))
 	return hex.EncodeToString(sum[:])
 }
 
-// Customer finds a customer by its id.
+// Customer returns the customer with the given id.
 func (s *Snapshot) Customer(id api.CustomerID) (*Customer, bool) {
 	c, ok := s.customers[id]
 	return c, ok
 }
 
-// Customers lists all customers.
+// Customers returns all customers.
 func (s *Snapshot) Customers() []Customer { return s.fleet.Customers }
 
-// Model finds a model by its id.
+// Model returns the model with the given id.
 func (s *Snapshot) Model(id api.ModelID) (*Model, bool) {
 	m, ok := s.models[id]
 	return m, ok
 }
 
-// Models lists all models.
+// Models returns all models.
 func (s *Snapshot) Models() []Model { return s.fleet.Models }
 
-// Service finds a service by its id.
+// Service returns the service with the given id.
 func (s *Snapshot) Service(id api.ServiceID) (*Service, bool) {
 	v, ok := s.services[id]
 	return v, ok
 }
 
-// ServiceByPath finds the service with the longest prefix of whole path
-// segments. The path comes cleaned, without query: "/a/../b" would otherwise
-// match a service other than the one that answers it.
+// ServiceByPath returns the service whose path prefix is the longest match of whole
+// segments of path. The path must be cleaned and have no query: otherwise "/a/../b"
+// would match a service other than the one that serves the path.
 func (s *Snapshot) ServiceByPath(path string) (*Service, bool) {
 	for path != "" {
 		if v, ok := s.prefixes[path]; ok {
@@ -153,50 +156,50 @@
 	return nil, false
 }
 
-// Zone gives the site that an availability zone belongs to.
+// Zone returns the site that an availability zone belongs to.
 func (s *Snapshot) Zone(z api.Zone) (api.Site, bool) {
 	site, ok := s.zones[z]
 	return site, ok
 }
 
-// Target gives the rule for a kind of target; a kind without one is taken not
-// to check fences, which is the safe reading.
+// Target returns the rule for a kind of target. Callers must assume that a kind without
+// a rule does not check fencing tokens, which is the safe assumption.
 func (s *Snapshot) Target(kind string) (*TargetRule, bool) {
 	r, ok := s.targets[kind]
 	return r, ok
 }
 
-// Limits gives the bounds of one process.
+// Limits returns the resource limits of one process.
 func (s *Snapshot) Limits() *Limits { return &s.fleet.Limits }
 
-// Policy gives the settings of admission, routing, retries and shedding.
+// Policy returns the settings of admission, routing, retries and load shedding.
 func (s *Snapshot) Policy() *Policy { return &s.fleet.Policy }
 
-// WeightStore gives the pace of loads.
+// WeightStore returns the limits for loading model weights.
 func (s *Snapshot) WeightStore() *WeightStore { return &s.fleet.WeightStore }
 
-// Fleet gives the whole configuration.
+// Fleet returns the complete configuration.
 func (s *Snapshot) Fleet() *Fleet { return s.fleet }
 
-// AllowsModel tells whether the customer may ask for the model.
+// AllowsModel reports whether the customer may use the model.
 func (c *Customer) AllowsModel(id api.ModelID) bool {
 	return len(c.Models) == 0 || slices.Contains(c.Models, id)
 }
 
-// AllowsService tells whether the customer may call the service.
+// AllowsService reports whether the customer may call the service.
 func (c *Customer) AllowsService(id api.ServiceID) bool {
 	return len(c.Services) == 0 || slices.Contains(c.Services, id)
 }
 
-// MayRepeat tells whether a call by the method may be sent again. A method
-// that the configuration does not list runs at most once.
+// MayRepeat reports whether calls with the given method may be retried. Calls with a
+// method that the configuration does not list are executed at most once.
 func (s *Service) MayRepeat(method string) bool { return slices.Contains(s.Repeatable, method) }
 
-// defaultKind is the kind of every request to a model that lists none.
+// defaultKind is the kind of every request to a model that has no kinds.
 var defaultKind = Kind{ID: string(ClassNote), Class: ClassNote}
 
-// KindOf gives the kind of a request by its kind header, "" for none, and its
-// max_tokens, 0 for none.
+// KindOf returns the kind of a request with the given kind header, "" if it has none,
+// and the given max_tokens, 0 if it has none.
 func (m *Model) KindOf(header string, maxTokens int) *Kind {
 	best := &defaultKind
 	for i := range m.Kinds {
@@ -218,25 +221,25 @@
 	return best
 }
 
-// Live holds the snapshot in force. Readers take it without a lock; a request
-// keeps the one that it started with. The zero value holds none.
+// Live holds the snapshot in force and can be read without a lock. A request uses the
+// snapshot with which it started until it ends. The zero value holds no snapshot.
 type Live struct {
 	current atomic.Pointer[Snapshot]
 }
 
-// Load gives the snapshot in force, nil before the first.
+// Load returns the snapshot in force, or nil before the first call of Publish.
 func (l *Live) Load() *Snapshot { return l.current.Load() }
 
-// Publish puts a snapshot in force unless one of a higher or equal revision is
-// there, and reports whether it did. Two writers that race can't put the older
-// one in force last: the loser of the exchange compares again.
+// Publish puts s in force unless the current snapshot has an equal or higher revision.
+// It reports whether s is now in force. If two calls race, the older snapshot cannot
+// replace the newer one: the call whose exchange fails compares the revisions again.
 func (l *Live) Publish(s *Snapshot) bool {
 	for {
-		have := l.current.Load()
-		if have != nil && have.Revision >= s.Revision {
+		previous := l.current.Load()
+		if previous != nil && previous.Revision >= s.Revision {
 			return false
 		}
-		if l.current.CompareAndSwap(have, s) {
+		if l.current.CompareAndSwap(previous, s) {
 			return true
 		}
 	}
--- a/core/fleetconfig/tree.go
+++ b/core/fleetconfig/tree.go
@@ -1,6 +1,6 @@
 package fleetconfig
 
-// kind is the type of a value as the file writes it.
+// kind is the type of a value in a configuration file.
 type kind uint8
 
 const (
@@ -23,9 +23,9 @@
 
 func (k kind) String() string { return kindNames[k] }
 
-// node is one value of a configuration file with the place it was read from.
-// A scalar keeps its canonical text; a list its items; a mapping its fields in
-// the order of the file.
+// node is one value of a configuration file with its position. A scalar has its
+// canonical text, a list has its items, and a mapping has its fields in the order of
+// the file.
 type node struct {
 	kind   kind
 	text   string
@@ -60,7 +60,7 @@
 	n.fields = append(n.fields, field{key: key, pos: pos, val: val})
 }
 
-// id gives the name of a list item and whether it has one.
+// id returns the id of a list item and whether the item has one.
 func (n *node) id() (string, bool) {
 	v := n.get(idKey)
 	if v == nil || v.kind != kindString {
@@ -69,8 +69,8 @@
 	return v.text, true
 }
 
-// item finds a named item of a list.
-func (n *node) item(id string) (int, *node) {
+// findItem returns the index and the node of the item with the given id, or -1 and nil.
+func (n *node) findItem(id string) (int, *node) {
 	for i, it := range n.items {
 		if have, ok := it.id(); ok && have == id {
 			return i, it
@@ -92,8 +92,8 @@
 	return &c
 }
 
-// idKey is the key that names an item of a list; removeKey spells out that an
-// overlay takes the item away.
+// idKey is the key of the id of a list item. removeKey is the key by which an overlay
+// removes the item.
 const (
 	idKey     = "id"
 	removeKey = "remove"
@@ -107,5 +107,5 @@
 	return path + "." + key
 }
 
-// joinItem appends an item's name to a path.
+// joinItem appends the id of an item to a path.
 func joinItem(path, id string) string { return path + "[" + id + "]" }
--- a/core/fleetconfig/units.go
+++ b/core/fleetconfig/units.go
@@ -9,13 +9,13 @@
 	"time"
 )
 
-// Size is a number of bytes, written with its unit: "64KiB".
+// Size is a number of bytes, written with its unit, such as "64KiB".
 type Size int64
 
-// Rate is a number per second, written with its unit: "100/s" or "6000/min".
+// Rate is a number per second, written with its unit, such as "100/s" or "6000/min".
 type Rate float64
 
-// ByteRate is a number of bytes per second, written "64MiB/s".
+// ByteRate is a number of bytes per second, written with its unit, such as "64MiB/s".
 type ByteRate int64
 
 type sizeUnit struct {
@@ -23,9 +23,9 @@
 	bytes int64
 }
 
-// sizeUnits goes from the largest to the smallest, so that String finds the
-// largest unit that divides a size. Decimal units are left out: "1MB" means
-// two different sizes to two readers.
+// sizeUnits is sorted from the largest unit to the smallest, so that String finds the
+// largest unit that divides a size. It has no decimal units, because "1MB" is
+// ambiguous: some readers take it for 10^6 bytes and others for 2^20.
 var sizeUnits = []sizeUnit{
 	{"GiB", 1 << 30},
 	{"MiB", 1 << 20},
@@ -45,7 +45,7 @@
 	errByteRate = errors.New(`want a byte rate with its unit, such as "64MiB/s"`)
 )
 
-// ParseSize reads a size such as "64KiB".
+// ParseSize parses a size such as "64KiB".
 func ParseSize(s string) (Size, error) {
 	for _, u := range sizeUnits {
 		num, ok := strings.CutSuffix(s, u.name)
@@ -61,7 +61,7 @@
 	return 0, errSize
 }
 
-// String gives the size in the largest unit that divides it.
+// String returns the size in the largest unit that divides it.
 func (s Size) String() string {
 	for _, u := range sizeUnits {
 		if s != 0 && int64(s)%u.bytes == 0 {
@@ -71,7 +71,7 @@
 	return "0B"
 }
 
-// ParseRate reads a rate such as "100/s".
+// ParseRate parses a rate such as "100/s".
 func ParseRate(s string) (Rate, error) {
 	num, ok := strings.CutSuffix(s, perSecond)
 	divisor := 1.0
@@ -89,12 +89,12 @@
 	return Rate(n / divisor), nil
 }
 
-// String gives the rate per second.
+// String returns the rate per second.
 func (r Rate) String() string {
 	return strconv.FormatFloat(float64(r), 'g', -1, 64) + perSecond
 }
 
-// ParseByteRate reads a byte rate such as "64MiB/s".
+// ParseByteRate parses a byte rate such as "64MiB/s".
 func ParseByteRate(s string) (ByteRate, error) {
 	num, ok := strings.CutSuffix(s, perSecond)
 	if !ok {
@@ -107,7 +107,7 @@
 	return ByteRate(n), nil
 }
 
-// String gives the byte rate in the largest unit that divides it.
+// String returns the byte rate in the largest unit that divides it.
 func (r ByteRate) String() string { return Size(r).String() + perSecond }
 
 func parseDuration(s string) (time.Duration, error) {
--- a/core/fleetconfig/validate.go
+++ b/core/fleetconfig/validate.go
@@ -8,38 +8,40 @@
 	"almondseam.dev/core/api"
 )
 
-// keyDigits is the length of a key's sum in hexadecimal digits.
-const keyDigits = 64
+// keySumDigits is the number of hexadecimal digits of the SHA-256 sum of an API key.
+const keySumDigits = 64
 
-// methods are the HTTP methods that a service may list.
-var methods = []string{"GET", "HEAD", "OPTIONS", "PUT", "DELETE", "POST", "PATCH"}
+// httpMethods are the HTTP methods that a service may list as repeatable.
+var httpMethods = []string{"GET", "HEAD", "OPTIONS", "PUT", "DELETE", "POST", "PATCH"}
 
-// checker finds faults that concern more than one value.
+// checker validates a decoded configuration. It checks what the schema tags cannot
+// express, such as references between values.
 type checker struct {
-	fleet    *Fleet
-	tree     *node
-	places   map[string]Pos // collected at the first fault
-	problems Problems
+	fleet     *Fleet
+	tree      *node
+	positions map[string]Pos // collected when the first problem is reported
+	problems  Problems
 }
 
 func validate(fleet *Fleet, tree *node) Problems {
 	c := &checker{fleet: fleet, tree: tree}
-	c.sites()
-	c.customers()
-	c.models()
-	c.services()
+	c.checkSites()
+	c.checkCustomers()
+	c.checkModels()
+	c.checkServices()
 	return c.problems
 }
 
-// collectPlaces notes the place of every value under its path.
-func collectPlaces(n *node, path string, out map[string]Pos) {
+// collectPositions adds the positions of n and of all values below it to out, keyed by
+// path.
+func collectPositions(n *node, path string, out map[string]Pos) {
 	out[path] = n.pos
 	for _, f := range n.fields {
-		collectPlaces(f.val, join(path, f.key), out)
+		collectPositions(f.val, join(path, f.key), out)
 	}
 	for i, it := range n.items {
 		if id, ok := it.id(); ok {
-			collectPlaces(it, joinItem(path, id), out)
+			collectPositions(it, joinItem(path, id), out)
 			continue
 		}
 		out[fmt.Sprintf("%s[%d]", path, i)] = it.pos
@@ -47,18 +49,18 @@
 }
 
 func (c *checker) fail(path, format string, args ...any) {
-	if c.places == nil {
-		c.places = map[string]Pos{}
-		collectPlaces(c.tree, "", c.places)
+	if c.positions == nil {
+		c.positions = map[string]Pos{}
+		collectPositions(c.tree, "", c.positions)
 	}
-	pos, ok := c.places[path]
+	pos, ok := c.positions[path]
 	if !ok {
 		pos = c.tree.pos
 	}
 	c.problems = append(c.problems, Problem{Pos: pos, Path: path, Msg: fmt.Sprintf(format, args...)})
 }
 
-func (c *checker) sites() {
+func (c *checker) checkSites() {
 	if !validID(c.fleet.Name) {
 		c.fail("name", "want a name of letters, digits, '.', '_' or '-'")
 	}
@@ -83,7 +85,7 @@
 	}
 }
 
-func (c *checker) customers() {
+func (c *checker) checkCustomers() {
 	models := make([]api.ModelID, 0, len(c.fleet.Models))
 	for _, m := range c.fleet.Models {
 		models = append(models, m.ID)
@@ -95,7 +97,7 @@
 	owner := map[string]api.CustomerID{}
 	for _, cu := range c.fleet.Customers {
 		path := joinItem("customers", string(cu.ID))
-		c.keys(&cu, path, owner)
+		c.checkCustomerKeys(&cu, path, owner)
 		for i, m := range cu.Models {
 			if !slices.Contains(models, m) {
 				c.fail(fmt.Sprintf("%s.models[%d]", path, i), "no model %q in this configuration", m)
@@ -109,15 +111,15 @@
 	}
 }
 
-// keys refuses a key that two customers share: the first match would decide
-// whose limits and whose answers a caller gets.
-func (c *checker) keys(cu *Customer, path string, owner map[string]api.CustomerID) {
+// checkCustomerKeys rejects an invalid key and a key that two customers share: the first
+// match would decide which customer's limits and responses a caller gets.
+func (c *checker) checkCustomerKeys(cu *Customer, path string, owner map[string]api.CustomerID) {
 	if len(cu.Keys) == 0 {
 		c.fail(path+".keys", "want at least one key")
 	}
 	for i, k := range cu.Keys {
-		if !validKey(k) {
-			c.fail(fmt.Sprintf("%s.keys[%d]", path, i), "want the SHA-256 sum of the key as %d lowercase hex digits, never the key itself", keyDigits)
+		if !validKeySum(k) {
+			c.fail(fmt.Sprintf("%s.keys[%d]", path, i), "want the SHA-256 sum of the key as %d lowercase hex digits, never the key itself", keySumDigits)
 			continue
 		}
 		if other, taken := owner[k]; taken {
@@ -127,8 +129,8 @@
 	}
 }
 
-func validKey(k string) bool {
-	if len(k) != keyDigits {
+func validKeySum(k string) bool {
+	if len(k) != keySumDigits {
 		return false
 	}
 	for i := range len(k) {
@@ -139,19 +141,19 @@
 	return true
 }
 
-func (c *checker) models() {
+func (c *checker) checkModels() {
 	for _, m := range c.fleet.Models {
 		path := joinItem("models", string(m.ID))
 		if m.MaxOutputTokens > m.ContextTokens {
 			c.fail(path+".max_output_tokens", "%d is more than context_tokens, %d", m.MaxOutputTokens, m.ContextTokens)
 		}
-		c.kinds(m, path)
+		c.checkKinds(m, path)
 	}
 }
 
-// kinds refuses two rules that take the same requests, so that the order of
-// the list never matters, and a list without a rule for the rest.
-func (c *checker) kinds(m Model, path string) {
+// checkKinds rejects two kinds that match the same requests, so that the order of the
+// list does not matter, and a list without a kind for all other requests.
+func (c *checker) checkKinds(m Model, path string) {
 	if len(m.Kinds) == 0 {
 		return
 	}
@@ -176,26 +178,26 @@
 	}
 }
 
-func (c *checker) services() {
+func (c *checker) checkServices() {
 	owner := map[string]api.ServiceID{}
 	for _, s := range c.fleet.Services {
 		path := joinItem("services", string(s.ID))
-		c.pathPrefix(s, path, owner)
+		c.checkPathPrefix(s, path, owner)
 		for i, m := range s.Repeatable {
-			if !slices.Contains(methods, m) {
-				c.fail(fmt.Sprintf("%s.repeatable[%d]", path, i), "want one of %s, got %q", strings.Join(methods, ", "), m)
+			if !slices.Contains(httpMethods, m) {
+				c.fail(fmt.Sprintf("%s.repeatable[%d]", path, i), "want one of %s, got %q", strings.Join(httpMethods, ", "), m)
 			}
 		}
 	}
 }
 
-// reservedPath is the model API's own path.
+// reservedPath is the path of the model API.
 const reservedPath = "/v1"
 
-func (c *checker) pathPrefix(s Service, path string, owner map[string]api.ServiceID) {
+func (c *checker) checkPathPrefix(s Service, path string, owner map[string]api.ServiceID) {
 	at := path + ".path_prefix"
 	p := s.PathPrefix
-	if !strings.HasPrefix(p, "/") || p == "/" || strings.HasSuffix(p, "/") || strings.ContainsAny(p, "?#% \t") || hasDotSegment(p) {
+	if !strings.HasPrefix(p, "/") || p == "/" || strings.HasSuffix(p, "/") || strings.ContainsAny(p, "?#% \t") || hasDotOrEmptySegment(p) {
 		c.fail(at, `want a path such as "/bookings": "/" first, none last, no dot or empty segments, no escapes`)
 		return
 	}
@@ -210,7 +212,7 @@
 	owner[p] = s.ID
 }
 
-func hasDotSegment(p string) bool {
+func hasDotOrEmptySegment(p string) bool {
 	for _, seg := range strings.Split(p, "/")[1:] {
 		if seg == "" || seg == "." || seg == ".." {
 			return true
--- a/core/fleetconfig/yaml.go
+++ b/core/fleetconfig/yaml.go
@@ -13,9 +13,9 @@
 	"github.com/goccy/go-yaml/token"
 )
 
-// The bounds of one file. They hold before the parser's work grows with what
-// a file could name: an alias copies its anchor, so values are counted after
-// the copy.
+// Limits of one file. They bound the work of parsing it. Size, number of lines
+// and, approximately, nesting are checked before parsing. Values are counted after
+// aliases have been expanded, because each alias copies the value of its anchor.
 const (
 	MaxFileBytes = 4 << 20
 	maxLines     = 100_000
@@ -24,7 +24,7 @@
 	maxAliases   = 1000
 )
 
-// reader turns the parser's tree into nodes within the bounds.
+// reader converts the parser's syntax tree into nodes and enforces the limits.
 type reader struct {
 	file     string
 	anchors  map[string]ast.Node
@@ -33,7 +33,7 @@
 	problems Problems
 }
 
-// readYAML parses one document of one file.
+// readYAML parses a file, which must contain at most one YAML document.
 func readYAML(file string, data []byte) (*node, Problems) {
 	if p, ok := precheck(file, data); !ok {
 		return nil, Problems{p}
@@ -46,7 +46,7 @@
 	if doc == nil {
 		return &node{kind: kindMap, pos: Pos{File: file, Line: 1, Col: 1}}, nil
 	}
-	root := r.value(doc, 0)
+	root := r.readValue(doc, 0)
 	if len(r.problems) > 0 {
 		return nil, r.problems
 	}
@@ -56,9 +56,10 @@
 	return root, nil
 }
 
-// precheck refuses what the parser would take too much stack or time for: deep
-// flow nesting, runs of block entries on one line, and too many lines, as its
-// time grows with their square in lists of nothing.
+// precheck rejects files for which the parser would need too much stack or time: large
+// files, deeply nested flow collections, long runs of block entries on one line, and
+// files with too many lines. In lists of empty entries, the parser's time grows with
+// the square of the number of lines.
 func precheck(file string, data []byte) (Problem, bool) {
 	if len(data) > MaxFileBytes {
 		return Problem{Pos: Pos{File: file}, Msg: fmt.Sprintf("file is longer than %s", Size(MaxFileBytes))}, false
@@ -90,9 +91,9 @@
 
 func isBlank(b byte) bool { return b == ' ' || b == '\t' || b == '\r' || b == '\n' }
 
-// parseFile runs the library's parser. A panic inside it becomes a problem of
-// the file: an operator's broken file must not end a control process, and the
-// parser keeps no state that a panic could leave half changed.
+// parseFile runs the library's parser. It reports a panic in the parser as a problem of
+// the file, because a malformed file must not terminate a control process. This is
+// safe because the parser has no state that a panic could leave inconsistent.
 func parseFile(file string, data []byte) (body ast.Node, problems Problems) {
 	defer func() {
 		if r := recover(); r != nil {
@@ -143,7 +144,7 @@
 	return &node{kind: kindString, pos: pos}
 }
 
-func (r *reader) value(n ast.Node, depth int) *node {
+func (r *reader) readValue(n ast.Node, depth int) *node {
 	if len(r.problems) > 0 {
 		return &node{kind: kindString, pos: Pos{File: r.file}}
 	}
@@ -159,17 +160,17 @@
 	}
 	switch v := n.(type) {
 	case *ast.MappingNode:
-		return r.mapping(r.mappingPos(v), v.Values, depth)
+		return r.readMapping(r.mappingPos(v), v.Values, depth)
 	case *ast.MappingValueNode:
-		return r.mapping(r.pos(v.Key), []*ast.MappingValueNode{v}, depth)
+		return r.readMapping(r.pos(v.Key), []*ast.MappingValueNode{v}, depth)
 	case *ast.SequenceNode:
-		return r.list(v, depth)
+		return r.readList(v, depth)
 	case *ast.AnchorNode:
-		return r.anchor(v, depth)
+		return r.readAnchor(v, depth)
 	case *ast.AliasNode:
-		return r.alias(v, depth)
+		return r.readAlias(v, depth)
 	default:
-		return r.scalar(n)
+		return r.readScalar(n)
 	}
 }
 
@@ -180,7 +181,7 @@
 	return tokenPos(r.file, m.Start)
 }
 
-func (r *reader) mapping(pos Pos, values []*ast.MappingValueNode, depth int) *node {
+func (r *reader) readMapping(pos Pos, values []*ast.MappingValueNode, depth int) *node {
 	out := &node{kind: kindMap, pos: pos}
 	seen := make(map[string]Pos, len(values))
 	for _, v := range values {
@@ -193,41 +194,42 @@
 			return r.fail(keyPos, fmt.Sprintf("duplicate key %q, first at line %d", key.Value, first.Line))
 		}
 		seen[key.Value] = keyPos
-		out.fields = append(out.fields, field{key: key.Value, pos: keyPos, val: r.value(v.Value, depth+1)})
+		out.fields = append(out.fields, field{key: key.Value, pos: keyPos, val: r.readValue(v.Value, depth+1)})
 	}
 	return out
 }
 
-func (r *reader) list(s *ast.SequenceNode, depth int) *node {
+func (r *reader) readList(s *ast.SequenceNode, depth int) *node {
 	out := &node{kind: kindList, pos: tokenPos(r.file, s.Start)}
 	for _, v := range s.Values {
-		out.items = append(out.items, r.value(v, depth+1))
+		out.items = append(out.items, r.readValue(v, depth+1))
 	}
 	return out
 }
 
-// anchor names its value only after reading it, so that an alias inside its
-// own anchor is unknown instead of endless.
-func (r *reader) anchor(a *ast.AnchorNode, depth int) *node {
-	out := r.value(a.Value, depth+1)
+// readAnchor registers the anchor only after its value has been read, so that an alias
+// inside the value of its own anchor is reported as unknown instead of causing endless
+// recursion.
+func (r *reader) readAnchor(a *ast.AnchorNode, depth int) *node {
+	out := r.readValue(a.Value, depth+1)
 	r.anchors[a.Name.GetToken().Value] = a.Value
 	return out
 }
 
-func (r *reader) alias(a *ast.AliasNode, depth int) *node {
+func (r *reader) readAlias(a *ast.AliasNode, depth int) *node {
 	r.aliases++
 	if r.aliases > maxAliases {
 		return r.fail(r.pos(a), fmt.Sprintf("more than %d aliases", maxAliases))
 	}
 	name := a.Value.GetToken().Value
-	target, ok := r.anchors[name]
+	value, ok := r.anchors[name]
 	if !ok {
 		return r.fail(r.pos(a), fmt.Sprintf("unknown alias %q", name))
 	}
-	return r.value(target, depth+1)
+	return r.readValue(value, depth+1)
 }
 
-func (r *reader) scalar(n ast.Node) *node {
+func (r *reader) readScalar(n ast.Node) *node {
 	pos := r.pos(n)
 	switch v := n.(type) {
 	case *ast.StringNode:
@@ -237,7 +239,7 @@
 	case *ast.BoolNode:
 		return &node{kind: kindBool, text: strconv.FormatBool(v.Value), pos: pos}
 	case *ast.IntegerNode:
-		return r.integer(v, pos)
+		return r.readInteger(v, pos)
 	case *ast.FloatNode:
 		if math.IsInf(v.Value, 0) || math.IsNaN(v.Value) {
 			return r.fail(pos, "want a finite number")
@@ -250,7 +252,7 @@
 	}
 }
 
-func (r *reader) integer(v *ast.IntegerNode, pos Pos) *node {
+func (r *reader) readInteger(v *ast.IntegerNode, pos Pos) *node {
 	switch n := v.Value.(type) {
 	case int64:
 		return &node{kind: kindInt, text: strconv.FormatInt(n, 10), pos: pos}
