--- a/core/fleetconfig/document_test.go
+++ b/core/fleetconfig/document_test.go
@@ -41,8 +41,8 @@
 	c.Assert(snap.Site, qt.Equals, api.Site("lhr"))
 }
 
-// Comments, order and spacing are no change: two operators who write the same
-// values send the same document.
+// Comments, the order of keys and spacing do not change the digest, so that two
+// operators who write the same values submit the same document.
 func TestDigestIgnoresSpelling(t *testing.T) {
 	c := qt.New(t)
 	a := testDocument(c, testBase, "limits: {keepalive: 1s, drain: 1m}", 1)
@@ -51,8 +51,8 @@
 	c.Assert(NewDelta(a, b).Paths(), qt.HasLen, 0)
 }
 
-// A node is handed a delta that does not fit: it was made against another
-// revision or another content, or was changed on its way. Nothing is applied.
+// A node rejects a delta that was computed from another revision or other content, or
+// that was altered in transit.
 func TestApplyDeltaRefuses(t *testing.T) {
 	c := qt.New(t)
 	a := testDocument(c, testBase, testOverlay, 1)
@@ -88,7 +88,7 @@
 	c.Assert(next.Revision, qt.Equals, b.Revision)
 }
 
-// Bytes that decode but are no canonical document are refused.
+// Input that decodes but is not a valid document in canonical form is rejected.
 func TestDecodeDocumentRefuses(t *testing.T) {
 	str := func(path, text string) leaf { return leaf{Path: path, Kind: kindString, Text: text} }
 	tests := []struct {
@@ -116,8 +116,8 @@
 	}
 }
 
-// randomBase writes a valid base with customers, some of them taken away or
-// changed from one draw to the next.
+// randomBase returns a valid base with a random subset of 12 customers that have random
+// weights.
 func randomBase(rng *rand.Rand) string {
 	var b strings.Builder
 	b.WriteString("name: demo\nsites: [{id: lhr, region: r, zones: [a]}]\ncustomers:\n  - {id: atlas, keys: [" + KeySum("atlas") + "]}\n")
@@ -132,8 +132,8 @@
 	return b.String()
 }
 
-// For any two documents, the delta between them turns one into the other, by
-// way of its bytes, and the result's bytes are those of the document itself.
+// For any two documents, the encoded and decoded delta turns the first into the second,
+// and the result has the same encoding as the second.
 func TestDeltaLeadsFromAnyToAny(t *testing.T) {
 	for seed := range uint64(200) {
 		c := qt.New(t)
--- a/core/fleetconfig/fuzz_test.go
+++ b/core/fleetconfig/fuzz_test.go
@@ -7,9 +7,9 @@
 	"almondseam.dev/core/api"
 )
 
-// FuzzParse feeds any bytes as a base file and as an overlay. Nothing panics,
-// every error is a problem with its file, and what is accepted renders to a
-// file that reads back the same.
+// FuzzParse parses arbitrary bytes as a base file and as an overlay. Nothing panics,
+// every error is a Problems value that names its file, and an accepted base renders to
+// a file that parses to an equal configuration.
 func FuzzParse(f *testing.F) {
 	f.Add([]byte(testBase))
 	f.Add([]byte(testOverlay))
@@ -19,7 +19,7 @@
 		for _, err := range []error{fuzzBase(t, data), fuzzOverlay(data)} {
 			var problems Problems
 			if err != nil && (!errors.As(err, &problems) || problems[0].Pos.File == "") {
-				t.Fatalf("error without a place: %v", err)
+				t.Fatalf("error without a position: %v", err)
 			}
 		}
 	})
@@ -45,8 +45,8 @@
 	return err
 }
 
-// FuzzDecode feeds any bytes as a document and as a delta. Nothing panics, and
-// an accepted document is the only spelling of its content.
+// FuzzDecode decodes arbitrary bytes as a document and as a delta. Nothing panics, and
+// an accepted document is the canonical encoding of its content.
 func FuzzDecode(f *testing.F) {
 	doc, err := NewDocument(base(testBase), map[api.Site]File{"lhr": overlay(testOverlay)})
 	if err != nil {
@@ -72,7 +72,7 @@
 		}
 		again, err := EncodeDocument(d)
 		if err != nil || string(again) != string(data) {
-			t.Fatal("accepted document spells otherwise")
+			t.Fatal("accepted document has another encoding")
 		}
 	})
 }
--- a/core/fleetconfig/merge_test.go
+++ b/core/fleetconfig/merge_test.go
@@ -45,8 +45,8 @@
 	c.Assert(again, qt.DeepEquals, f)
 }
 
-// A site's operator writes an overlay that does more than change what differs.
-// It is refused with its own file and line, before it could be in force.
+// An overlay that changes more than it may, or refers to something that does not exist,
+// is rejected with an error that names the overlay's file and position or the path.
 func TestMergeRefuses(t *testing.T) {
 	tests := []struct{ name, overlay, want string }{
 		{"change of type", "customers:\n  - id: atlas\n    weight: many", `lhr.yaml:3:13: customers[atlas].weight: want a whole number`},
--- a/core/fleetconfig/refuse_test.go
+++ b/core/fleetconfig/refuse_test.go
@@ -11,8 +11,8 @@
 	"almondseam.dev/core/api"
 )
 
-// An operator mistypes a base file. The file is refused whole, and the message
-// leads to the place: file, line, column, path and what is wanted instead.
+// A base file with an error is rejected as a whole. The message identifies the error by
+// file, line, column and path and states what is expected.
 func TestParseRefuses(t *testing.T) {
 	tests := []struct {
 		name, old, new string
@@ -77,14 +77,15 @@
 	return strings.NewReplacer(`.`, `\.`, `[`, `\[`, `]`, `\]`, `(`, `\(`, `)`, `\)`, `?`, `\?`, `*`, `\*`).Replace(s)
 }
 
-// A ruler of dashes in a comment is no nesting.
+// A row of dashes in a comment is not counted as nested block entries.
 func TestParseTakesRulers(t *testing.T) {
 	c := qt.New(t)
 	_, err := Parse(base("# " + strings.Repeat("-", 80) + "\n" + testBase))
 	c.Assert(err, qt.IsNil)
 }
 
-// Aliases that double at each level would grow a small file into a huge tree.
+// Aliases that multiply the values at each level would expand a small file into a huge
+// tree; the limits on aliases and values prevent this.
 func TestParseBoundsAliases(t *testing.T) {
 	c := qt.New(t)
 	text := "x0: &x0 [a, b]\n"
@@ -96,7 +97,9 @@
 	c.Assert(err, qt.ErrorMatches, `(?s).*more than \d+ (aliases|values).*`)
 }
 
-// Every tag of the schema reads as what the decoder takes it for.
+// Every key of the schema has a name, the first field of each named item is its id, and
+// each min and max tag can be parsed as a value of its type, or as a plain number if the
+// type is a rate.
 func TestSchemaTagsRead(t *testing.T) {
 	c := qt.New(t)
 	var walk func(t reflect.Type)
--- a/core/fleetconfig/size_test.go
+++ b/core/fleetconfig/size_test.go
@@ -10,9 +10,10 @@
 	"almondseam.dev/core/api"
 )
 
-// targetFleet writes a base of the size that the users' target names: 1,700
-// customers, 22 models and 9 availability zones in 3 sites, with an overlay each.
-func targetFleet(weight int) (File, map[api.Site]File) {
+// largeFleet returns a base of the size that users have stated as their goal, with
+// 1,700 customers, 22 models and 9 availability zones in 3 sites, and an overlay for each
+// site.
+func largeFleet(weight int) (File, map[api.Site]File) {
 	var b strings.Builder
 	b.WriteString("name: target\nsites:\n")
 	overlays := map[api.Site]File{}
@@ -37,15 +38,15 @@
 	return File{Name: "base", Data: []byte(b.String())}, overlays
 }
 
-func targetDocument(c testing.TB, weight int) *Document {
-	base, overlays := targetFleet(weight)
+func largeDocument(c testing.TB, weight int) *Document {
+	base, overlays := largeFleet(weight)
 	d, err := NewDocument(base, overlays)
 	qt.New(c).Assert(err, qt.IsNil)
 	return d
 }
 
 func BenchmarkParseFiles(b *testing.B) {
-	base, overlays := targetFleet(0)
+	base, overlays := largeFleet(0)
 	for b.Loop() {
 		if _, err := NewDocument(base, overlays); err != nil {
 			b.Fatal(err)
@@ -54,7 +55,7 @@
 }
 
 func BenchmarkDecodeDocument(b *testing.B) {
-	bytes, err := EncodeDocument(targetDocument(b, 0))
+	bytes, err := EncodeDocument(largeDocument(b, 0))
 	qt.New(b).Assert(err, qt.IsNil)
 	for b.Loop() {
 		if _, err := DecodeDocument(bytes); err != nil {
@@ -64,7 +65,7 @@
 }
 
 func BenchmarkReadDocument(b *testing.B) {
-	bytes, err := EncodeDocument(targetDocument(b, 0))
+	bytes, err := EncodeDocument(largeDocument(b, 0))
 	qt.New(b).Assert(err, qt.IsNil)
 	for b.Loop() {
 		if _, err := ReadDocument(bytes); err != nil {
@@ -74,8 +75,8 @@
 }
 
 func BenchmarkApplyDelta(b *testing.B) {
-	a := targetDocument(b, 0)
-	base, overlays := targetFleet(0)
+	a := largeDocument(b, 0)
+	base, overlays := largeFleet(0)
 	base.Data = []byte(strings.Replace(string(base.Data), "weight: 5", "weight: 6", 1))
 	next, err := NewDocument(base, overlays)
 	qt.New(b).Assert(err, qt.IsNil)
@@ -88,7 +89,7 @@
 }
 
 func BenchmarkSnapshot(b *testing.B) {
-	d := targetDocument(b, 0)
+	d := largeDocument(b, 0)
 	for b.Loop() {
 		if _, err := d.Snapshot("s1"); err != nil {
 			b.Fatal(err)
@@ -97,7 +98,7 @@
 }
 
 func BenchmarkCustomerByKey(b *testing.B) {
-	s, err := targetDocument(b, 0).Snapshot("s1")
+	s, err := largeDocument(b, 0).Snapshot("s1")
 	qt.New(b).Assert(err, qt.IsNil)
 	b.ReportAllocs()
 	for b.Loop() {
@@ -107,15 +108,16 @@
 	}
 }
 
-// A document of the target's size stays under what control keeps of one, and
-// the change of one value under a thousandth of it.
+// The encoded document of a large fleet is smaller than 512 KiB, the maximum that
+// control members accept by default, and the delta that changes one value is smaller than
+// 256 bytes, less than a thousandth of the document.
 func TestTargetFleetSizes(t *testing.T) {
 	c := qt.New(t)
-	d := targetDocument(t, 0)
+	d := largeDocument(t, 0)
 	bytes, err := EncodeDocument(d)
 	c.Assert(err, qt.IsNil)
 	c.Assert(len(bytes) < 512<<10, qt.IsTrue, qt.Commentf("document of %d bytes", len(bytes)))
-	next, overlays := targetFleet(0)
+	next, overlays := largeFleet(0)
 	next.Data = []byte(strings.Replace(string(next.Data), "weight: 5", "weight: 6", 1))
 	after, err := NewDocument(next, overlays)
 	c.Assert(err, qt.IsNil)
