--- a/node/control/call.go
+++ b/node/control/call.go
@@ -12,8 +12,8 @@
 	"almondseam.dev/core/state"
 )
 
-// call is one request on its way through the driving goroutine. done is called
-// exactly once, on that goroutine or the caller's, and must not block.
+// call is one request to this member. done is called exactly once, on the
+// goroutine of Run or on the caller's, and must not block.
 type call struct {
 	req  *Request
 	done func(*Reply)
@@ -24,74 +24,76 @@
 	c.done(r)
 }
 
-// readyRead is a read that a majority has confirmed and that waits until its
-// index has been applied.
-type readyRead struct {
+// confirmedRead holds reads that a majority has confirmed and that are answered
+// once this member has applied index.
+type confirmedRead struct {
 	index uint64
 	calls []*call
 }
 
-// replicatedClock gives the time that commands carry: the state's own time when
-// this member became leader, and what has passed since on its monotonic clock.
+// replicatedClock computes the timestamps of the commands that this member proposes: the
+// time in the replicated state when this member became leader, plus the time since then by
+// its monotonic clock.
 //
 // The wall clock is not used: a leader whose clock is ahead would let claims expire that are
-// still in use. Counting only what passes during an office, the replicated clock is never
+// still in use. Since only the time under a leader counts, the replicated clock is never
 // ahead of real elapsed time.
 type replicatedClock struct {
-	base    int64
-	started time.Time
+	baseMillis int64
+	started    time.Time
 }
 
-func startClock(base int64, now time.Time) replicatedClock {
-	return replicatedClock{base: base, started: now}
+func newReplicatedClock(baseMillis int64, now time.Time) replicatedClock {
+	return replicatedClock{baseMillis: baseMillis, started: now}
 }
 
 func (c replicatedClock) at(now time.Time) int64 {
-	return c.base + now.Sub(c.started).Milliseconds()
+	return c.baseMillis + now.Sub(c.started).Milliseconds()
 }
 
-const sealSize = 16
+const proposalHeaderSize = 16
 
-// seal puts the proposing member and its own number for the proposal before the
-// command, so that the member finds whom to answer when the entry comes back.
-func seal(id consensus.MemberID, seq uint64, command []byte) []byte {
-	b := make([]byte, sealSize, sealSize+len(command))
+// encodeProposal prefixes the command with the ID of the proposing member and that
+// member's sequence number, by which the member finds the waiting call when it
+// applies the entry.
+func encodeProposal(id consensus.MemberID, seq uint64, command []byte) []byte {
+	b := make([]byte, proposalHeaderSize, proposalHeaderSize+len(command))
 	binary.BigEndian.PutUint64(b, uint64(id))
 	binary.BigEndian.PutUint64(b[8:], seq)
 	return append(b, command...)
 }
 
-func unseal(b []byte) (consensus.MemberID, uint64, []byte, bool) {
-	if len(b) < sealSize {
+func decodeProposal(b []byte) (consensus.MemberID, uint64, []byte, bool) {
+	if len(b) < proposalHeaderSize {
 		return 0, 0, nil, false
 	}
-	return consensus.MemberID(binary.BigEndian.Uint64(b)), binary.BigEndian.Uint64(b[8:]), b[sealSize:], true
+	return consensus.MemberID(binary.BigEndian.Uint64(b)), binary.BigEndian.Uint64(b[8:]), b[proposalHeaderSize:], true
 }
 
-// Submit carries out a request at this member; done gets the one reply. It
-// doesn't block. A leader that loses its majority gives up its office within an
-// election timeout, so done is always called while the member runs.
+// Submit starts a request at this member without blocking and calls done once
+// with the reply. A leader that loses its majority steps down within an election
+// timeout, so done is always called while the member runs.
 func (m *Member) Submit(req *Request, done func(*Reply)) {
 	c := &call{req: req, done: done}
-	if r := m.refuseEarly(req); r != nil {
+	if r := m.prepare(req); r != nil {
 		c.answer(r)
 		return
 	}
 	select {
 	case <-m.done:
-		c.answer(m.refused(req, api.ReasonControlUnavailable, ErrStopped.Error()))
+		c.answer(m.rejection(req, api.ReasonControlUnavailable, ErrStopped.Error()))
 		return
 	default:
 	}
 	select {
-	case m.proposals <- c:
+	case m.calls <- c:
 	default:
-		c.answer(m.refused(req, api.ReasonQueueFull, "too many requests wait at this member"))
+		c.answer(m.rejection(req, api.ReasonQueueFull, "too many requests wait at this member"))
 	}
 }
 
-// Do is Submit that waits. When ctx ends first, the outcome of a request that
-// changes something is unknown.
+// Do submits a request and waits for the reply. If ctx ends first, the reply has
+// outcome unknown: a change may still take effect.
 func (m *Member) Do(ctx context.Context, req *Request) *Reply {
 	replies := make(chan *Reply, 1)
 	m.Submit(req, func(r *Reply) { replies <- r })
@@ -110,27 +112,29 @@
 	}
 }
 
-// refuseEarly checks what needs no agreement.
-func (m *Member) refuseEarly(req *Request) *Reply {
+// prepare sets the fields of a command that the receiving member determines: the
+// limits of a retry, the base of an evacuation and the load pace of a configuration.
+// It returns a reply if the configuration is invalid, and nil otherwise.
+func (m *Member) prepare(req *Request) *Reply {
 	if req.Command == nil {
 		return nil
 	}
 	if req.Command.Retry != nil {
-		m.stampRetry(req)
+		m.setRetryLimits(req)
 		return nil
 	}
 	if req.Command.Evacuation != nil {
-		m.stampEvacuation(req)
+		m.setEvacuationBase(req)
 		return nil
 	}
 	if req.Command.Config == nil {
 		return nil
 	}
 	if err := m.opt.Validate(req.Command.Config.Document); err != nil {
-		return m.refused(req, api.ReasonBadRequest, err.Error())
+		return m.rejection(req, api.ReasonBadRequest, err.Error())
 	}
-	// The command is copied: an earlier call of the same caller may still be
-	// encoding its own.
+	// The command is copied because an earlier call with the same request may
+	// still be encoding it.
 	command, put := *req.Command, *req.Command.Config
 	put.Pace = m.opt.Pace(put.Document)
 	command.Config = &put
@@ -138,38 +142,38 @@
 	return nil
 }
 
-func (m *Member) refused(req *Request, reason api.Reason, message string) *Reply {
+func (m *Member) rejection(req *Request, reason api.Reason, message string) *Reply {
 	m.opt.Observer.Refused(reason)
 	return &Reply{ID: req.ID, Outcome: api.OutcomeNotRun, Reason: reason, Message: message}
 }
 
-// take starts a call and those that wait behind it: commands go into the log as
-// one batch, and all reads share one round to the majority.
-func (m *Member) take(first *call) {
+// startCalls starts a call and those queued behind it, at most maxBatch. Commands
+// are proposed as one batch, and all reads share one round trip to a majority.
+func (m *Member) startCalls(first *call) {
 	var commands, reads []*call
-	for c, n := first, 0; c != nil && n < maxBatch; c, n = m.waiting(), n+1 {
+	for c, n := first, 0; c != nil && n < maxBatch; c, n = m.nextCall(), n+1 {
 		switch {
 		case c.req.Command != nil:
-			if !m.refuseRetry(c) && !m.knowsLimit(c) {
+			if !m.answerRefusedRetry(c) && !m.answerKnownLimit(c) {
 				commands = append(commands, c)
 			}
 		case c.req.Read:
 			reads = append(reads, c)
 		case c.req.Change != nil:
-			m.takeChange(c)
+			m.scheduleChange(c)
 		case c.req.Status:
 			m.answerStatus(c)
 		default:
-			c.answer(m.refused(c.req, api.ReasonBadRequest, "empty request"))
+			c.answer(m.rejection(c.req, api.ReasonBadRequest, "empty request"))
 		}
 	}
 	m.propose(commands)
 	m.startReads(reads)
 }
 
-func (m *Member) waiting() *call {
+func (m *Member) nextCall() *call {
 	select {
-	case c := <-m.proposals:
+	case c := <-m.calls:
 		return c
 	default:
 		return nil
@@ -189,24 +193,25 @@
 		command.Wall = now.UnixMilli()
 		b, err := state.Encode(command)
 		if err != nil {
-			c.answer(m.refused(c.req, api.ReasonBadRequest, err.Error()))
+			c.answer(m.rejection(c.req, api.ReasonBadRequest, err.Error()))
 			continue
 		}
 		m.seq++
-		data = append(data, seal(m.opt.ID, m.seq, b))
+		data = append(data, encodeProposal(m.opt.ID, m.seq, b))
 		m.pending[m.seq] = c
 		started = append(started, c)
 	}
 	if err := m.node.Propose(data...); err != nil {
-		m.withdraw(len(started), started, err)
+		m.rejectBatch(len(started), started, err)
 		return
 	}
 	m.lastCommand = now
 }
 
-// withdraw answers calls whose batch was refused. The batch is all or nothing,
-// so when it was too much each command is tried alone, once.
-func (m *Member) withdraw(n int, calls []*call, err error) {
+// rejectBatch handles a batch of n commands that was rejected as a whole. If its
+// size was the reason (ErrTooLarge or ErrBusy), each command is proposed once more
+// by itself; otherwise every call is answered with the error.
+func (m *Member) rejectBatch(n int, calls []*call, err error) {
 	for i := range n {
 		delete(m.pending, m.seq-uint64(i))
 	}
@@ -217,27 +222,27 @@
 		return
 	}
 	for _, c := range calls {
-		c.answer(m.refusal(c.req, err))
+		c.answer(m.errorReply(c.req, err))
 	}
 }
 
-// refusal turns an error of the agreement into a reply. Nothing of a refused
-// request is in the log, so its outcome is not_run.
-func (m *Member) refusal(req *Request, err error) *Reply {
+// errorReply converts an error of the consensus node into a reply. A rejected
+// request is not in the log, so its outcome is not_run.
+func (m *Member) errorReply(req *Request, err error) *Reply {
 	var notLeader *consensus.NotLeaderError
 	switch {
 	case errors.As(err, &notLeader):
-		r := m.refused(req, api.ReasonControlUnavailable, err.Error())
+		r := m.rejection(req, api.ReasonControlUnavailable, err.Error())
 		r.Leader = notLeader.Addr
 		return r
 	case errors.Is(err, consensus.ErrBusy):
-		return m.refused(req, api.ReasonQueueFull, err.Error())
+		return m.rejection(req, api.ReasonQueueFull, err.Error())
 	case errors.Is(err, consensus.ErrTooLarge):
-		return m.refused(req, api.ReasonTooLarge, err.Error())
+		return m.rejection(req, api.ReasonTooLarge, err.Error())
 	case errors.Is(err, consensus.ErrNotReady), errors.Is(err, consensus.ErrTransferring):
-		return m.refused(req, api.ReasonControlUnavailable, err.Error())
+		return m.rejection(req, api.ReasonControlUnavailable, err.Error())
 	}
-	return m.refused(req, api.ReasonBadRequest, err.Error())
+	return m.rejection(req, api.ReasonBadRequest, err.Error())
 }
 
 func (m *Member) startReads(calls []*call) {
@@ -247,7 +252,7 @@
 	m.seq++
 	if err := m.node.ReadIndex(m.seq); err != nil {
 		for _, c := range calls {
-			c.answer(m.refusal(c.req, err))
+			c.answer(m.errorReply(c.req, err))
 		}
 		return
 	}
@@ -260,17 +265,17 @@
 		delete(m.reads, rs.Ctx)
 		if rs.Lost {
 			for _, c := range calls {
-				c.answer(m.refused(c.req, api.ReasonControlUnavailable, "leadership ended before a majority had answered"))
+				c.answer(m.rejection(c.req, api.ReasonControlUnavailable, "leadership ended before a majority had answered"))
 			}
 			continue
 		}
-		m.readyReads = append(m.readyReads, readyRead{rs.Index, calls})
+		m.confirmedReads = append(m.confirmedReads, confirmedRead{rs.Index, calls})
 	}
 }
 
 func (m *Member) answerReads() {
-	kept := m.readyReads[:0]
-	for _, r := range m.readyReads {
+	kept := m.confirmedReads[:0]
+	for _, r := range m.confirmedReads {
 		if r.index > m.applied {
 			kept = append(kept, r)
 			continue
@@ -280,27 +285,27 @@
 			c.answer(&Reply{Outcome: api.OutcomeCompleted, Revision: revision, Evacuated: &evacuated})
 		}
 	}
-	m.readyReads = kept
+	m.confirmedReads = kept
 }
 
-// heldChange is a membership change that waits for its tick.
-type heldChange struct {
+// delayedChange is a membership change that is proposed at tick due.
+type delayedChange struct {
 	call *call
 	due  int
 }
 
-// takeChange starts a change, or holds it for a while when it takes a vote away
-// or gives one.
+// scheduleChange proposes a membership change. A leader delays promotions and
+// removals.
 //
-// A member that has just died counts as active for an election timeout. Held for as long, the
-// check counts only members that have answered since the operator asked, and the group that
-// is left has a majority.
-func (m *Member) takeChange(c *call) {
+// A member that has just crashed counts as active for an election timeout. After a delay of
+// the same length, the check for a remaining majority counts only members that have responded
+// since the change was requested.
+func (m *Member) scheduleChange(c *call) {
 	if c.req.Change.Type == consensus.ChangeAddLearner || m.role != consensus.RoleLeader {
 		m.startChange(c)
 		return
 	}
-	m.held = append(m.held, heldChange{c, m.ticks + m.electionTicks() + 1})
+	m.delayedChanges = append(m.delayedChanges, delayedChange{c, m.ticks + m.electionTicks() + 1})
 }
 
 func (m *Member) electionTicks() int {
@@ -310,10 +315,10 @@
 	return consensus.DefaultElectionTicks
 }
 
-func (m *Member) releaseChanges() {
-	for len(m.held) > 0 && m.held[0].due <= m.ticks {
-		c := m.held[0].call
-		m.held = m.held[1:]
+func (m *Member) startDueChanges() {
+	for len(m.delayedChanges) > 0 && m.delayedChanges[0].due <= m.ticks {
+		c := m.delayedChanges[0].call
+		m.delayedChanges = m.delayedChanges[1:]
 		m.startChange(c)
 	}
 }
@@ -322,40 +327,40 @@
 	ch := c.req.Change
 	err := m.node.ProposeChange(consensus.Change{Type: ch.Type, ID: ch.ID, Addr: ch.Addr})
 	if err != nil {
-		c.answer(m.refusal(c.req, err))
+		c.answer(m.errorReply(c.req, err))
 		return
 	}
-	m.changes = append(m.changes, c)
+	m.uncommittedChanges = append(m.uncommittedChanges, c)
 }
 
-// answerChanges answers a membership change once it is committed. There is only
-// ever one, for the agreement refuses a second.
+// answerChanges answers a membership change once it is committed. There is at
+// most one, because a second is rejected while the first is uncommitted.
 func (m *Member) answerChanges() {
-	if len(m.changes) == 0 || m.node.Status().ChangePending {
+	if len(m.uncommittedChanges) == 0 || m.node.Status().ChangePending {
 		return
 	}
-	for _, c := range m.changes {
+	for _, c := range m.uncommittedChanges {
 		c.answer(&Reply{Outcome: api.OutcomeCompleted})
 	}
-	m.changes = nil
+	m.uncommittedChanges = nil
 }
 
-// failPending answers everything that waits for a commit when the office is
-// lost. The entries may still be committed by the next leader, so the outcome is
-// unknown; reads changed nothing.
+// failPending answers all calls that wait when leadership is lost. Proposed
+// entries may still be committed by the next leader, so the outcome of their calls
+// is unknown; delayed membership changes and reads had no effect.
 func (m *Member) failPending() {
 	for seq, c := range m.pending {
 		delete(m.pending, seq)
-		c.answer(lost(c.req))
+		c.answer(unknownOutcome(c.req))
 	}
-	for _, c := range m.changes {
-		c.answer(lost(c.req))
+	for _, c := range m.uncommittedChanges {
+		c.answer(unknownOutcome(c.req))
 	}
-	m.changes = nil
-	for _, h := range m.held {
-		h.call.answer(m.refused(h.call.req, api.ReasonControlUnavailable, "leadership lost"))
+	m.uncommittedChanges = nil
+	for _, delayed := range m.delayedChanges {
+		delayed.call.answer(m.rejection(delayed.call.req, api.ReasonControlUnavailable, "leadership lost"))
 	}
-	m.held = nil
+	m.delayedChanges = nil
 	for ctx, calls := range m.reads {
 		delete(m.reads, ctx)
 		for _, c := range calls {
@@ -364,24 +369,25 @@
 	}
 }
 
-func lost(req *Request) *Reply {
+func unknownOutcome(req *Request) *Reply {
 	return &Reply{ID: req.ID, Outcome: api.OutcomeUnknown, Reason: api.ReasonControlUnavailable, Message: "leadership lost; it may still take effect"}
 }
 
-// keepClock moves the replicated clock while nothing else does.
-func (m *Member) keepClock() {
+// proposeClockTick proposes an empty command, which advances the replicated clock
+// of a group that has no other commands.
+func (m *Member) proposeClockTick() {
 	m.propose([]*call{{req: &Request{Command: &state.Command{}}, done: func(*Reply) {}}})
 }
 
 func (m *Member) answerStatus(c *call) {
 	st := m.node.Status()
 	if st.Role != consensus.RoleLeader {
-		c.answer(m.refusal(c.req, &consensus.NotLeaderError{Leader: st.Leader, Addr: addressOf(st.Membership, st.Leader)}))
+		c.answer(m.errorReply(c.req, &consensus.NotLeaderError{Leader: st.Leader, Addr: addressOf(st.Membership, st.Leader)}))
 		return
 	}
 	b, err := m.statusJSON(&st)
 	if err != nil {
-		c.answer(m.refused(c.req, api.ReasonInternal, fmt.Sprintf("encode status: %v", err)))
+		c.answer(m.rejection(c.req, api.ReasonInternal, fmt.Sprintf("encode status: %v", err)))
 		return
 	}
 	c.answer(&Reply{Outcome: api.OutcomeCompleted, Status: b})
--- a/node/control/choose.go
+++ b/node/control/choose.go
@@ -9,105 +9,109 @@
 )
 
 const (
-	// clientDialMost bounds one dial. Members are milliseconds away; one that
-	// takes longer is cut off or without power, and another one may have news.
-	clientDialMost = 600 * time.Millisecond
-	// avoidFailed is how long an address is passed over after it failed.
-	avoidFailed = 3 * time.Second
-	// leaderlessFor is how long a client stays with a member that knows of no
-	// leader: a little over one election.
-	leaderlessFor = 1200 * time.Millisecond
+	// maxClientDialTimeout bounds one dial. Members are milliseconds away; one that
+	// takes longer is partitioned or down, and another member may have a newer
+	// configuration.
+	maxClientDialTimeout = 600 * time.Millisecond
+	// failedAddressPause is how long an address is avoided after it failed.
+	failedAddressPause = 3 * time.Second
+	// leaderlessTimeout is how long a client stays with a member that knows no
+	// leader: a little longer than one election.
+	leaderlessTimeout = 1200 * time.Millisecond
 )
 
-// address gives the leader's address if it was told, else any seed.
-func (c *Client) address() string {
+// nextAddress returns the address to dial next: the leader's if a member has named
+// it, otherwise a random known address.
+func (c *Client) nextAddress() string {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if addr := c.next; addr != "" {
-		c.next = ""
-		c.last = addr
+	if addr := c.nextAddr; addr != "" {
+		c.nextAddr = ""
+		c.lastAddr = addr
 		return addr
 	}
-	c.last = c.choose(time.Now())
-	return c.last
+	c.lastAddr = c.chooseAddress(time.Now())
+	return c.lastAddr
 }
 
-// choose gives any known address, one that has not failed of late if there is one.
-//
-// Members that have failed of late are left out while others are known: several may be cut off
-// at once, and a dial to each takes long.
-func (c *Client) choose(now time.Time) string {
+// chooseAddress returns a random known address. It avoids the address that was dialled last
+// and addresses that failed less than failedAddressPause ago, as long as others are known:
+// several members may be partitioned at once, and a dial to each of them takes long.
+func (c *Client) chooseAddress(now time.Time) string {
 	known := slices.Concat(c.opt.Seeds, c.members)
-	known = slices.DeleteFunc(known, func(a string) bool { return a == c.opt.Not })
-	sound := slices.DeleteFunc(slices.Clone(known), func(a string) bool {
-		return a == c.last || now.Sub(c.failedAt[a]) < avoidFailed
+	known = slices.DeleteFunc(known, func(a string) bool { return a == c.opt.AvoidAddr })
+	healthy := slices.DeleteFunc(slices.Clone(known), func(a string) bool {
+		return a == c.lastAddr || now.Sub(c.failedAt[a]) < failedAddressPause
 	})
 	switch {
-	case len(sound) > 0:
-		return sound[rand.IntN(len(sound))]
+	case len(healthy) > 0:
+		return healthy[rand.IntN(len(healthy))]
 	case len(known) > 0:
 		return known[rand.IntN(len(known))]
 	}
 	return c.opt.Seeds[rand.IntN(len(c.opt.Seeds))]
 }
 
-// fail notes that an address did not answer, or fell silent.
-func (c *Client) fail(addr string) {
+// markFailed records that a dial to the address failed, that its link went silent
+// or that its member knows no leader.
+func (c *Client) markFailed(addr string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.failedAt[addr] = time.Now()
 }
 
-// closer ends a link.
-type closer interface{ Close() }
+// linkCloser is the part of a link that handleLeader uses.
+type linkCloser interface{ Close() }
 
-// leader follows what a member says of the leader. A member that knows of none is
-// given a while, for an election is mostly over soon, and then left for another
-// and passed over: it may be cut off from the majority for as long as a partition
-// lasts, together with others, and what the majority accepts meanwhile would not
-// arrive here while this client goes to and fro between them. A member that belongs to
-// no group is left at once.
-func (c *Client) leader(conn closer, m *Leader) {
+// handleLeader handles a member's statement about the leader. If another member is
+// the leader, the client closes this link and dials the leader. If the member knows
+// no leader, the client waits for leaderlessTimeout, since most elections are over by
+// then, and closes the link afterwards and avoids the member for a while. Several
+// members may be partitioned from the majority together, and a client that moved
+// between them would miss what the majority accepts until the partition ends. A member
+// that belongs to no group is left at once.
+func (c *Client) handleLeader(conn linkCloser, m *Leader) {
 	if len(m.Members) > 0 {
-		c.learn(m.Members)
+		c.setMembers(m.Members)
 	}
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.leaderless != nil {
-		c.leaderless.Stop()
-		c.leaderless = nil
+	if c.leaderlessTimer != nil {
+		c.leaderlessTimer.Stop()
+		c.leaderlessTimer = nil
 	}
 	switch {
 	case m.Self:
 	case m.Addr != "":
-		c.next = m.Addr
-		// Closing ends the link's own goroutines; it takes no lock of this type.
+		c.nextAddr = m.Addr
+		// Close takes no lock of Client, so it may be called with mu held.
 		conn.Close()
 	case m.Groupless:
-		c.failedAt[c.last] = time.Now()
+		c.failedAt[c.lastAddr] = time.Now()
 		conn.Close()
 	default:
-		addr := c.last
-		c.leaderless = time.AfterFunc(leaderlessFor, func() {
-			c.fail(addr)
+		addr := c.lastAddr
+		c.leaderlessTimer = time.AfterFunc(leaderlessTimeout, func() {
+			c.markFailed(addr)
 			conn.Close()
 		})
 	}
 }
 
-// learn keeps the group's addresses, to dial when the seeds don't answer.
-func (c *Client) learn(members []string) {
+// setMembers stores the group's addresses, which are dialled in addition to the
+// seeds.
+func (c *Client) setMembers(members []string) {
 	c.mu.Lock()
 	c.members = slices.Clone(members)
 	c.mu.Unlock()
 	c.opt.OnMembers(members)
 }
 
-// move dials another member next and ends the present link. The pause before
-// dialling is jittered, so that all entries don't fall upon a new leader at once.
-func (c *Client) move(conn *link.Conn, addr string) {
+// redirect closes the link and makes the client dial addr next. The pause before
+// that dial is jittered, so that not all entries dial a new leader at once.
+func (c *Client) redirect(conn *link.Conn, addr string) {
 	c.mu.Lock()
-	c.next = addr
+	c.nextAddr = addr
 	c.mu.Unlock()
 	conn.Close()
 }
--- a/node/control/choose_test.go
+++ b/node/control/choose_test.go
@@ -15,22 +15,22 @@
 func TestClientLeavesOutWhatFailedOfLate(t *testing.T) {
 	c := qt.New(t)
 	cl := NewClient(ClientOptions{Seeds: []string{"a", "b", "c"}})
-	cl.learn([]string{"a", "b", "c", "d", "e"})
+	cl.setMembers([]string{"a", "b", "c", "d", "e"})
 	now := time.Now()
-	cl.fail("a")
-	cl.fail("b")
+	cl.markFailed("a")
+	cl.markFailed("b")
 	seen := map[string]bool{}
 	for range 200 {
-		seen[cl.choose(now)] = true
+		seen[cl.chooseAddress(now)] = true
 	}
 	c.Assert(seen, qt.DeepEquals, map[string]bool{"c": true, "d": true, "e": true})
 	for _, a := range []string{"c", "d", "e"} {
-		cl.fail(a)
+		cl.markFailed(a)
 	}
-	c.Assert(cl.choose(now), qt.Not(qt.Equals), "")
+	c.Assert(cl.chooseAddress(now), qt.Not(qt.Equals), "")
 	seen = map[string]bool{}
 	for range 200 {
-		seen[cl.choose(now.Add(2*avoidFailed))] = true
+		seen[cl.chooseAddress(now.Add(2*failedAddressPause))] = true
 	}
 	c.Assert(seen, qt.HasLen, 5)
 }
@@ -47,14 +47,14 @@
 		c := qt.New(t)
 		cl := NewClient(ClientOptions{Seeds: []string{"cut1", "cut2", "good"}})
 		for _, addr := range []string{"cut1", "cut2"} {
-			cl.last = addr
+			cl.lastAddr = addr
 			conn := &closed{}
-			cl.leader(conn, &Leader{})
-			time.Sleep(leaderlessFor + time.Millisecond)
+			cl.handleLeader(conn, &Leader{})
+			time.Sleep(leaderlessTimeout + time.Millisecond)
 			c.Assert(conn.n.Load(), qt.Equals, int32(1))
 		}
 		for range 100 {
-			c.Assert(cl.choose(time.Now()), qt.Equals, "good")
+			c.Assert(cl.chooseAddress(time.Now()), qt.Equals, "good")
 		}
 	})
 }
@@ -64,10 +64,10 @@
 	synctest.Test(t, func(t *testing.T) {
 		cl := NewClient(ClientOptions{Seeds: []string{"a"}})
 		conn := &closed{}
-		cl.leader(conn, &Leader{})
-		time.Sleep(leaderlessFor / 2)
-		cl.leader(conn, &Leader{Self: true})
-		time.Sleep(2 * leaderlessFor)
+		cl.handleLeader(conn, &Leader{})
+		time.Sleep(leaderlessTimeout / 2)
+		cl.handleLeader(conn, &Leader{Self: true})
+		time.Sleep(2 * leaderlessTimeout)
 		qt.New(t).Assert(conn.n.Load(), qt.Equals, int32(0))
 	})
 }
@@ -77,11 +77,11 @@
 func TestClientLeavesAMemberWithoutAGroup(t *testing.T) {
 	c := qt.New(t)
 	cl := NewClient(ClientOptions{Seeds: []string{"empty", "good"}})
-	cl.last = "empty"
+	cl.lastAddr = "empty"
 	conn := &closed{}
-	cl.leader(conn, &Leader{Groupless: true})
+	cl.handleLeader(conn, &Leader{Groupless: true})
 	c.Assert(conn.n.Load(), qt.Equals, int32(1))
 	for range 100 {
-		c.Assert(cl.choose(time.Now()), qt.Equals, "good")
+		c.Assert(cl.chooseAddress(time.Now()), qt.Equals, "good")
 	}
 }
--- a/node/control/client.go
+++ b/node/control/client.go
@@ -22,53 +22,56 @@
 	defaultReportEvery = 2 * time.Second
 	retryMin           = 20 * time.Millisecond
 	retryMax           = 250 * time.Millisecond
-	// tryFor bounds one attempt. A stopped member keeps its connections open,
-	// so that without the bound a call would wait for the link's silence.
-	tryFor = 2 * time.Second
+	// attemptTimeout bounds one attempt. A frozen process keeps its connections
+	// open, so without this bound a call would wait for the silence timeout of the
+	// link.
+	attemptTimeout = 2 * time.Second
 )
 
-// ClientOptions of a Client.
+// ClientOptions configures a Client.
 type ClientOptions struct {
-	// Seeds are addresses of control members, host:port. More are learnt.
+	// Seeds are addresses of control members, host:port. The client learns the
+	// others from the members.
 	Seeds []string
-	// Not is an address that is never dialled unless it is the only one.
-	Not  string
-	Link link.Options
+	// AvoidAddr is an address that is dialled only if no other is known.
+	AvoidAddr string
+	Link      link.Options
 	// OnMembers is called with the link addresses of the whole group whenever a
-	// member tells them; it may be nil.
+	// member sends them; it may be nil.
 	OnMembers func(addrs []string)
-	// OnConfig is called with each newer revision, in rising order, on one
-	// goroutine. It must not block for long. Document is read-only.
+	// OnConfig is called with each newer revision, in ascending order, on the
+	// goroutine of Run. It must not block for long. Document is read-only.
 	OnConfig func(revision api.Revision, document []byte)
-	// OnDrains is called with all targets that operators drain, whenever the
-	// list changes; on the same goroutine as OnConfig. It may be nil.
+	// OnDrains is called with all targets that operators drain, whenever the list
+	// changes, on the same goroutine as OnConfig. It may be nil.
 	OnDrains func(targets []state.Drain)
-	// OnEntries is called with all live entries, whenever they change, on one
-	// goroutine.
+	// OnEntries is called with all live entries, whenever they change, on the same
+	// goroutine as OnConfig. It may be nil.
 	OnEntries func(list []wire.EntryInfo)
-	// OnOrders is called with the targets that have an order waiting and none
-	// in flight, like OnDrains.
+	// OnOrders is called with the targets that have an order waiting and none in
+	// flight, whenever they change, on the same goroutine as OnConfig. It may be nil.
 	OnOrders func(ready []api.TargetID)
 	// OnEvacuated is called with all evacuated availability zones whenever they change, on
-	// the same goroutine as OnConfig, and by HighestRevision on its caller's. A list may be
-	// older than one given before: its index tells. It may be nil.
+	// the same goroutine as OnConfig, and by HighestRevision on its caller's goroutine. A list
+	// may be older than an earlier one, which its lower index shows. It may be nil.
 	OnEvacuated func(state.Evacuated)
-	// OnLimits is called with all limits that targets name whenever one changes, on the same
-	// goroutine as OnConfig, and before the first configuration of a link. A list may be older
-	// than one given before: its index tells. It may be nil.
+	// OnLimits is called with all limits that targets have stated whenever one changes, on the
+	// same goroutine as OnConfig. On a new link, limits known to the member come before the
+	// first configuration. A list may be older than an earlier one, which its lower index
+	// shows. It may be nil.
 	OnLimits func(state.TargetLimits)
-	// Observer hears of failed dials; it may be nil.
+	// Observer is notified of failed dials; it may be nil.
 	Observer ClientObserver
-	// Report gives what is told of this process; it may be nil.
+	// Report returns the report that is sent about this process; it may be nil.
 	Report      func() Report
 	ReportEvery time.Duration
 }
 
-// ClientObserver hears of links that don't come up; of the others the observer of
-// the link options hears. Its methods are called on one goroutine.
+// ClientObserver is notified of dials that fail. Established links are reported to
+// the observer in the link options. Its methods are called on one goroutine.
 type ClientObserver interface {
-	// DialFailed is told of the first failure in a row: a client tries again
-	// several times a second.
+	// DialFailed is called for the first of several consecutive failures only,
+	// because a client retries several times a second.
 	DialFailed(addr string, err error)
 }
 
@@ -76,37 +79,38 @@
 
 func (noClientObserver) DialFailed(string, error) {}
 
-// Client is an entry's road to the control group. It keeps one link, to the
-// leader if one is known. Run drives it; the other methods may be called from
-// several goroutines and retry within their context.
+// Client connects a process, usually an entry, to the control group. It keeps one
+// link, to the leader if one is known. Run drives it; the other methods may be
+// called from several goroutines and retry until their context ends.
 type Client struct {
 	opt ClientOptions
 
-	mu      sync.Mutex
-	conn    *link.Conn
-	up      chan struct{} // closed while a link is up
-	next    string        // address to dial next, empty for any known
-	last    string        // address dialled last
-	members []string      // learnt addresses of the group
-	// failedAt is when each address last failed.
+	mu       sync.Mutex
+	conn     *link.Conn
+	up       chan struct{} // closed while a link is up
+	nextAddr string        // address to dial next, empty for any known one
+	lastAddr string        // address dialled last
+	members  []string      // addresses of the group, as told by a member
+	// failedAt is the time at which each address last failed.
 	failedAt map[string]time.Time
-	// leaderless closes a link to a member that knows of no leader.
-	leaderless *time.Timer
-	seq        uint64
-	waiting    map[uint64]chan *Reply
-
-	// revision and document are what was last delivered, whole asks for no
-	// patch next; Run's goroutine only.
-	revision api.Revision
-	document []byte
-	whole    bool
-	drained  uint64
-	// failing tells that the last dial failed; Run's goroutine only.
-	failing  bool
-	patience *link.Patience
+	// leaderlessTimer closes a link to a member that knows no leader.
+	leaderlessTimer *time.Timer
+	seq             uint64
+	waiting         map[uint64]chan *Reply
+
+	// revision and document were delivered last. needWhole makes the next Watch
+	// ask for a whole document instead of a patch. drainsIndex is the log index of
+	// the last list of drains. Only the goroutine of Run uses these fields.
+	revision    api.Revision
+	document    []byte
+	needWhole   bool
+	drainsIndex uint64
+	// dialFailing is true if the last dial failed. Only the goroutine of Run uses it.
+	dialFailing bool
+	patience    *link.Patience
 }
 
-// NewClient makes a client.
+// NewClient returns a client. Run must be called to connect it.
 func NewClient(opt ClientOptions) *Client {
 	if opt.OnConfig == nil {
 		opt.OnConfig = func(api.Revision, []byte) {}
@@ -137,13 +141,13 @@
 	}
 	return &Client{
 		opt: opt, up: make(chan struct{}), waiting: make(map[uint64]chan *Reply), failedAt: make(map[string]time.Time),
-		patience: link.NewPatience(dialLeast, clientDialMost),
+		patience: link.NewPatience(minDialTimeout, maxClientDialTimeout),
 	}
 }
 
-// Run keeps the link up until ctx is done.
+// Run dials members, and dials again whenever the link ends, until ctx is done.
 func (c *Client) Run(ctx context.Context) {
-	link.Keep(ctx, retryMin, retryMax, func() bool { return c.once(ctx) })
+	link.Keep(ctx, retryMin, retryMax, func() bool { return c.runLink(ctx) })
 }
 
 func sleep(ctx context.Context, d time.Duration) {
@@ -155,36 +159,37 @@
 	}
 }
 
-// once dials one member and stays until the link ends.
-func (c *Client) once(ctx context.Context) bool {
-	addr := c.address()
+// runLink dials one member and serves the link until it ends. It reports whether
+// the dial succeeded.
+func (c *Client) runLink(ctx context.Context) bool {
+	addr := c.nextAddress()
 	conn, err := c.patience.Dial(ctx, addr, c.opt.Link)
 	if err != nil {
-		c.fail(addr)
-		c.dialFailed(ctx, addr, err)
+		c.markFailed(addr)
+		c.reportDialFailure(ctx, addr, err)
 		return false
 	}
-	c.failing = false
+	c.dialFailing = false
 	c.attach(conn)
-	_ = conn.Send(&Watch{From: c.revision, Whole: c.whole})
+	_ = conn.Send(&Watch{From: c.revision, Whole: c.needWhole})
 	var wg conc.WaitGroup
 	wg.Go(func() { c.reportLoop(ctx, conn) })
 	conn.Run(ctx, func(m wire.Message) { c.handle(conn, m) })
 	if conn.Why() == link.CloseSilence {
-		c.fail(addr)
+		c.markFailed(addr)
 	}
 	c.detach(conn)
 	wg.Wait()
 	return true
 }
 
-// dialFailed tells of a row of failures once, and not of a dial that the end of
-// this process cut short.
-func (c *Client) dialFailed(ctx context.Context, addr string, err error) {
-	if c.failing || ctx.Err() != nil {
+// reportDialFailure reports the first of several consecutive failures. It does not
+// report a dial that failed because ctx was done.
+func (c *Client) reportDialFailure(ctx context.Context, addr string, err error) {
+	if c.dialFailing || ctx.Err() != nil {
 		return
 	}
-	c.failing = true
+	c.dialFailing = true
 	c.opt.Observer.DialFailed(addr, err)
 }
 
@@ -195,7 +200,7 @@
 	close(c.up)
 }
 
-// detach fails every call that waits for an answer on the link.
+// detach fails every call that waits for a reply on the link.
 func (c *Client) detach(conn *link.Conn) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -213,11 +218,11 @@
 func (c *Client) handle(conn *link.Conn, m wire.Message) {
 	switch m := m.(type) {
 	case *Reply:
-		c.reply(conn, m)
+		c.handleReply(conn, m)
 	case *Update:
-		c.update(conn, m)
+		c.handleUpdate(conn, m)
 	case *Drains:
-		c.drains(m)
+		c.handleDrains(m)
 	case *Entries:
 		c.opt.OnEntries(m.List)
 	case *Orders:
@@ -227,11 +232,11 @@
 	case *Limits:
 		c.opt.OnLimits(m.TargetLimits)
 	case *Leader:
-		c.leader(conn, m)
+		c.handleLeader(conn, m)
 	}
 }
 
-func (c *Client) reply(conn *link.Conn, r *Reply) {
+func (c *Client) handleReply(conn *link.Conn, r *Reply) {
 	c.mu.Lock()
 	ch := c.waiting[r.ID]
 	delete(c.waiting, r.ID)
@@ -240,14 +245,15 @@
 		ch <- r
 	}
 	if r.Leader != "" {
-		c.move(conn, r.Leader)
+		c.redirect(conn, r.Leader)
 	}
 }
 
-// update delivers a newer configuration. A patch that doesn't fit what is held
-// here ends the link; the next one begins with a whole document. The revision
-// stays, so that a member which lags can't take this process back.
-func (c *Client) update(conn *link.Conn, u *Update) {
+// handleUpdate delivers a newer configuration. If a patch does not apply to the
+// document that the client holds, the link is closed and the next link starts with
+// a whole document. The revision is kept, so a member that lags cannot make this
+// process return to an older configuration.
+func (c *Client) handleUpdate(conn *link.Conn, u *Update) {
 	if u.Revision <= c.revision {
 		return
 	}
@@ -258,39 +264,40 @@
 			document, ok = u.Patch.Apply(c.document)
 		}
 		if !ok {
-			c.whole = true
+			c.needWhole = true
 			conn.Close()
 			return
 		}
 	}
-	c.revision, c.document, c.whole = u.Revision, document, false
+	c.revision, c.document, c.needWhole = u.Revision, document, false
 	c.opt.OnConfig(u.Revision, document)
 }
 
-// drains delivers a list unless a newer one was: a member that lags must not
-// give a target work again that is being drained.
-func (c *Client) drains(m *Drains) {
-	if m.Index < c.drained {
+// handleDrains delivers a list unless a newer one was delivered before. Otherwise a
+// member that lags could send new work to a target that is being drained.
+func (c *Client) handleDrains(m *Drains) {
+	if m.Index < c.drainsIndex {
 		return
 	}
-	c.drained = m.Index
+	c.drainsIndex = m.Index
 	c.opt.OnDrains(m.Targets)
 }
 
-// reportLoop reports on one link: whole at first, then what has changed. A report
-// lists all linked targets; sent whole every second it would by itself pass an
-// entry's 5 KB a second from 150 targets on.
+// reportLoop sends reports on one link: the first one whole, the others without the
+// parts that have not changed. A report lists all linked targets; sent whole every
+// second, it alone would exceed an entry's budget of 5 KB per second from 150 targets
+// on.
 func (c *Client) reportLoop(ctx context.Context, conn *link.Conn) {
 	if c.opt.Report == nil {
 		return
 	}
 	t := time.NewTicker(c.opt.ReportEvery)
 	defer t.Stop()
-	var told *Report
+	var lastSent *Report
 	for {
 		r := c.opt.Report()
-		_ = conn.Send(difference(told, r))
-		told = &r
+		_ = conn.Send(reportDelta(lastSent, r))
+		lastSent = &r
 		select {
 		case <-t.C:
 		case <-conn.Done():
@@ -301,35 +308,36 @@
 	}
 }
 
-// call sends a request until a member gives an answer other than "not here",
-// or ctx ends. Whatever may be repeated safely may be given to it, which is all
-// that a Request can hold. sure tells whether every attempt is known to have
-// had no effect.
-func (c *Client) call(ctx context.Context, req Request) (reply *Reply, sure bool) {
-	sure = true
+// call sends a request until a member replies with a reason other than
+// control_unavailable or queue_full, or ctx ends. It may send the request several
+// times, which is safe for everything that a Request can hold. noEffect reports
+// whether every attempt, except one whose reply ended the call, is known to have had
+// no effect.
+func (c *Client) call(ctx context.Context, req Request) (reply *Reply, noEffect bool) {
+	noEffect = true
 	pause := retryMin
 	last := &Reply{Outcome: api.OutcomeNotRun, Reason: api.ReasonControlUnavailable, Message: "no member of the control group was reached"}
 	for ctx.Err() == nil {
-		r, sent := c.try(ctx, req)
+		r, sent := c.attempt(ctx, req)
 		if r != nil && r.Reason != api.ReasonControlUnavailable && r.Reason != api.ReasonQueueFull {
-			return r, sure
+			return r, noEffect
 		}
 		if r != nil {
 			last = r
 			sent = r.Outcome != api.OutcomeNotRun
 		}
 		if sent {
-			sure = false
+			noEffect = false
 		}
 		sleep(ctx, pause/2+rand.N(pause))
 		pause = min(2*pause, retryMax)
 	}
-	return last, sure
+	return last, noEffect
 }
 
-// try makes one attempt. Without a reply, sent tells whether the request may
-// have reached a member.
-func (c *Client) try(ctx context.Context, req Request) (r *Reply, sent bool) {
+// attempt sends the request once. If there is no reply, sent reports whether the
+// request may have reached a member.
+func (c *Client) attempt(ctx context.Context, req Request) (r *Reply, sent bool) {
 	c.mu.Lock()
 	up := c.up
 	c.mu.Unlock()
@@ -345,11 +353,11 @@
 	req.ID = c.seq
 	c.waiting[req.ID] = ch
 	c.mu.Unlock()
-	defer c.forget(req.ID)
+	defer c.removeWaiting(req.ID)
 	if conn == nil || conn.Send(&req) != nil {
 		return nil, false
 	}
-	limit := time.NewTimer(tryFor)
+	limit := time.NewTimer(attemptTimeout)
 	defer limit.Stop()
 	select {
 	case r = <-ch:
@@ -361,21 +369,21 @@
 	return nil, true
 }
 
-func (c *Client) forget(id uint64) {
+func (c *Client) removeWaiting(id uint64) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	delete(c.waiting, id)
 }
 
-// unavailable builds the error of a request that got no answer.
+// unavailable returns the error for a request that was not completed.
 func unavailable(step api.Step, r *Reply, outcome api.Outcome) error {
 	return &api.Error{Step: step, Outcome: outcome, Reason: r.Reason, RetryAfter: r.RetryAfter, Err: errors.New(r.Message)}
 }
 
-// Claim asks for the grant of a call. An error means that this asker holds no
-// grant and must not dispatch; as nobody else may dispatch on its behalf, the
-// call's outcome is then not_run. The claim may have been recorded all the
-// same, so Claim gives it back in the background of the next calls: see Abandon.
+// Claim asks for a grant to run a call. On an error the claimant holds no grant and
+// must not dispatch the call; since nobody else may dispatch it on the claimant's
+// behalf, the outcome of the call is not_run. The claim may still have been
+// recorded, so the caller should then call Abandon.
 func (c *Client) Claim(ctx context.Context, req claim.Request) (claim.Decision, error) {
 	r, _ := c.call(ctx, Request{Command: &state.Command{Claim: &req}})
 	if r.Outcome != api.OutcomeCompleted || r.Result == nil || r.Result.Claim == nil {
@@ -384,13 +392,13 @@
 	return *r.Result.Claim, nil
 }
 
-// Abandon gives back a claim whose grant was never learnt, so that the same key
-// can be tried again at once. Call it when Claim has failed.
+// Abandon releases a claim that may have been granted although Claim failed, so that
+// the key can be claimed again at once.
 func (c *Client) Abandon(ctx context.Context, key claim.Key, claimant string) error {
 	return c.Settle(ctx, claim.Report{Key: key, Claimant: claimant, Outcome: api.OutcomeNotRun})
 }
 
-// Settle reports what became of a grant. It may be repeated.
+// Settle reports the outcome of a granted call. It may be repeated.
 func (c *Client) Settle(ctx context.Context, rep claim.Report) error {
 	r, _ := c.call(ctx, Request{Command: &state.Command{Report: &rep}})
 	if r.Outcome != api.OutcomeCompleted || r.Result == nil {
@@ -402,12 +410,12 @@
 	return nil
 }
 
-// Order carries out an agent's order command.
+// Order executes an order command on behalf of an agent.
 func (c *Client) Order(ctx context.Context, cmd order.Command) (order.Order, error) {
-	r, sure := c.call(ctx, Request{Command: &state.Command{Order: &cmd}})
+	r, noEffect := c.call(ctx, Request{Command: &state.Command{Order: &cmd}})
 	if r.Outcome != api.OutcomeCompleted || r.Result == nil {
 		outcome := api.OutcomeUnknown
-		if sure {
+		if noEffect {
 			outcome = api.OutcomeNotRun
 		}
 		return order.Order{}, unavailable(api.StepOrder, r, outcome)
@@ -418,10 +426,10 @@
 	return *r.Result.Order, nil
 }
 
-// HighestRevision asks a majority for the highest accepted revision, and delivers the evacuated
-// availability zones first. A process
-// that was restarted serves nobody before it has applied that one: it may have
-// forgotten a revision that it had already acted on.
+// HighestRevision returns the highest accepted revision, confirmed by a majority. Before it
+// returns, it delivers the evacuated availability zones to OnEvacuated. A restarted
+// process must not serve requests before it has applied this revision, because it may
+// have acted on a revision that it no longer knows.
 func (c *Client) HighestRevision(ctx context.Context) (api.Revision, error) {
 	confirmed, err := c.Confirm(ctx)
 	if confirmed.Evacuated != nil {
@@ -430,14 +438,15 @@
 	return confirmed.Revision, err
 }
 
-// Confirmed is what a majority has confirmed to be accepted.
+// Confirmed is the result of a read that a majority has confirmed.
 type Confirmed struct {
 	Revision api.Revision
-	// Evacuated is nil if the leader is of a version without evacuations.
+	// Evacuated is nil if the leader runs a version without evacuations.
 	Evacuated *state.Evacuated
 }
 
-// Confirm is HighestRevision that gives the evacuated availability zones too.
+// Confirm returns the highest accepted revision and the evacuated availability
+// zones, confirmed by a majority. Unlike HighestRevision it does not call OnEvacuated.
 func (c *Client) Confirm(ctx context.Context) (Confirmed, error) {
 	r, _ := c.call(ctx, Request{Read: true})
 	if r.Outcome != api.OutcomeCompleted {
@@ -446,26 +455,26 @@
 	return Confirmed{Revision: r.Revision, Evacuated: r.Evacuated}, nil
 }
 
-// Exec carries out any request, for members that pass on what operators ask.
+// Exec executes any request, for members that forward requests of operators.
 // Outcome not_run in the reply means that no attempt had an effect.
 func (c *Client) Exec(ctx context.Context, req Request) *Reply {
-	r, sure := c.call(ctx, req)
-	if r.Outcome != api.OutcomeCompleted && !sure {
+	r, noEffect := c.call(ctx, req)
+	if r.Outcome != api.OutcomeCompleted && !noEffect {
 		r.Outcome = api.OutcomeUnknown
 	}
 	return r
 }
 
-// difference gives what is sent of a report after told was sent on the same link,
-// nil for the first one.
-func difference(told *Report, r Report) *Report {
-	if told == nil {
+// reportDelta returns the message that is sent for report r if lastSent was the
+// previous report on the same link. lastSent is nil for the first report.
+func reportDelta(lastSent *Report, r Report) *Report {
+	if lastSent == nil {
 		return &r
 	}
-	if reflect.DeepEqual(*told, r) {
+	if reflect.DeepEqual(*lastSent, r) {
 		return &Report{Instance: r.Instance, Same: true}
 	}
-	if slices.Equal(told.Targets, r.Targets) {
+	if slices.Equal(lastSent.Targets, r.Targets) {
 		r.Targets = nil
 		r.SameTargets = true
 	}
--- a/node/control/evacuations.go
+++ b/node/control/evacuations.go
@@ -8,9 +8,9 @@
 	"almondseam.dev/core/state"
 )
 
-// stampEvacuation notes in an order how far the first member that receives it has applied
-// the log. See state.Evacuation.
-func (m *Member) stampEvacuation(req *Request) {
+// setEvacuationBase sets the Base of an evacuation order to the index that this member has
+// applied, unless a member that received the order earlier has set it. See state.Evacuation.
+func (m *Member) setEvacuationBase(req *Request) {
 	command, order := *req.Command, *req.Command.Evacuation
 	if order.Base == 0 {
 		m.mu.RLock()
@@ -21,8 +21,8 @@
 	req.Command = &command
 }
 
-// EvacuationError gives what became of an order from the reply to it, nil if it is in
-// force.
+// EvacuationError converts the reply to an evacuation order into an error. It returns nil if
+// the order is in force.
 func EvacuationError(r *Reply) error {
 	e := &api.Error{Step: api.StepEvacuation, Outcome: r.Outcome, Reason: r.Reason, Err: errors.New(r.Message)}
 	if r.Outcome != api.OutcomeCompleted {
@@ -35,18 +35,18 @@
 	return e
 }
 
-// ZoneOrders gives the last order for each availability zone, as this member has applied
-// them.
+// ZoneOrders returns the last evacuation order for each availability zone that this member
+// has applied.
 func (m *Member) ZoneOrders() []state.ZoneOrder {
 	m.mu.RLock()
 	defer m.mu.RUnlock()
 	return m.state.ZoneOrders()
 }
 
-// awaitEvacuated waits until this member has applied the orders up to a log index; false if
-// it hasn't after waitApplied.
-func (m *Member) awaitEvacuated(index uint64) bool {
-	limit := time.NewTimer(waitApplied)
+// waitForEvacuations waits until this member has applied the evacuation orders up to a log
+// index. It returns false if that takes longer than applyTimeout.
+func (m *Member) waitForEvacuations(index uint64) bool {
+	limit := time.NewTimer(applyTimeout)
 	defer limit.Stop()
 	for {
 		m.mu.RLock()
--- a/node/control/executor.go
+++ b/node/control/executor.go
@@ -9,22 +9,23 @@
 
 const (
 	operatorTimeout = 10 * time.Second
-	// forwardTimeout is how long a member looks for the leader: two elections.
+	// forwardTimeout is how long a member tries to reach the leader: two elections.
 	forwardTimeout = 2500 * time.Millisecond
 )
 
-// executor carries out requests at this member, or at the leader when that is
-// elsewhere. Safe for concurrent use.
+// executor executes requests at this member, or forwards them to the leader if that
+// is another member. It is safe for concurrent use.
 type executor struct {
 	member *Member
-	// forward is a client of role control; nil passes nothing on.
+	// forward is a client with the role control; if it is nil, requests are not
+	// forwarded.
 	forward *Client
 }
 
-func (x *executor) run(req Request) *Reply { return x.within(context.Background(), req) }
+func (x *executor) run(req Request) *Reply { return x.runContext(context.Background(), req) }
 
-// within is run that ends with ctx too.
-func (x *executor) within(ctx context.Context, req Request) *Reply {
+// runContext executes a request until operatorTimeout has passed or ctx ends.
+func (x *executor) runContext(ctx context.Context, req Request) *Reply {
 	ctx, cancel := context.WithTimeout(ctx, operatorTimeout)
 	defer cancel()
 	r := x.member.Do(ctx, &req)
--- a/node/control/join.go
+++ b/node/control/join.go
@@ -8,37 +8,38 @@
 	"almondseam.dev/core/consensus"
 )
 
-// joinPause is how long a member waits between two looks at whether it belongs
-// to a group with a leader, and so between two requests to be added.
-const joinPause = 700 * time.Millisecond
+// joinInterval is the time between two checks whether this member belongs to a group
+// with a leader, and thus between two requests to be added.
+const joinInterval = 700 * time.Millisecond
 
-// lonelyLooks is how many looks in a row must find no leader before the member
-// asks to be added: an election is over within two.
-const lonelyLooks = 3
+// minLeaderlessChecks is how many consecutive checks must find no leader before a
+// member that belongs to the group asks to be added again: an election is over
+// within two checks.
+const minLeaderlessChecks = 3
 
-// keepJoined asks the group to add this member while it belongs to none that has
-// a leader. That holds for an empty folder, and for a member that was removed
-// while it was silent. To be added twice is harmless: the group refuses a member
-// that it has.
+// keepJoined asks the group to add this member whenever the member belongs to no
+// group that has a leader. That is the case with an empty data directory, and after
+// the member was removed while it was silent. Asking twice is harmless because the
+// group rejects the addition of a member that it already has.
 func keepJoined(ctx context.Context, x *executor, self string) {
-	lonely := 0
+	leaderlessChecks := 0
 	for ctx.Err() == nil {
-		sleep(ctx, joinPause)
+		sleep(ctx, joinInterval)
 		st := x.member.Status()
 		belongs := st.Membership.IsVoter(st.ID) || st.Membership.IsLearner(st.ID)
 		if st.Leader != 0 && belongs {
-			lonely = 0
+			leaderlessChecks = 0
 			continue
 		}
-		lonely++
-		if belongs && lonely < lonelyLooks {
+		leaderlessChecks++
+		if belongs && leaderlessChecks < minLeaderlessChecks {
 			continue
 		}
-		askToJoin(ctx, x, st.ID, self)
+		requestJoin(ctx, x, st.ID, self)
 	}
 }
 
-func askToJoin(ctx context.Context, x *executor, id consensus.MemberID, self string) {
+func requestJoin(ctx context.Context, x *executor, id consensus.MemberID, self string) {
 	ctx, cancel := context.WithTimeout(ctx, forwardTimeout)
 	defer cancel()
 	r := x.forward.Exec(ctx, Request{Change: &MemberChange{Type: consensus.ChangeAddLearner, ID: id, Addr: self}})
--- a/node/control/limits.go
+++ b/node/control/limits.go
@@ -9,9 +9,10 @@
 	"almondseam.dev/core/state"
 )
 
-// knowsLimit answers a statement that the leader knows to change nothing, so that the log
-// does not grow with what every entry hears.
-func (m *Member) knowsLimit(c *call) bool {
+// answerKnownLimit answers a statement of a target's limit that would change nothing, and
+// reports whether it did. Such statements are not proposed because every entry that hears the
+// same limit would otherwise add it to the log. Only the leader answers.
+func (m *Member) answerKnownLimit(c *call) bool {
 	stated := c.req.Command.Limit
 	if stated == nil || m.role != consensus.RoleLeader {
 		return false
@@ -24,16 +25,17 @@
 	return true
 }
 
-// TargetLimits gives the limits that targets name, as this member has applied them.
+// TargetLimits returns the limits that targets have stated, as far as this member has applied
+// the log.
 func (m *Member) TargetLimits() state.TargetLimits {
 	m.mu.RLock()
 	defer m.mu.RUnlock()
 	return m.state.TargetLimits()
 }
 
-// StateLimit tells the group what a target says of its limit, and gives what the group goes by
-// then. The same statement may be made again. With an error it is not known whether the group
-// has heard it.
+// StateLimit reports to the group the limit that a target has stated, and returns the limit
+// that the group then applies. It may be repeated. After an error it is unknown whether the
+// group has recorded the statement.
 func (c *Client) StateLimit(ctx context.Context, l state.LimitStatement) (state.TargetLimit, error) {
 	r, _ := c.call(ctx, Request{Command: &state.Command{Limit: &l}})
 	if r.Outcome != api.OutcomeCompleted || r.Result == nil || r.Result.Limit == nil {
--- a/node/control/member.go
+++ b/node/control/member.go
@@ -17,89 +17,92 @@
 	"github.com/sourcegraph/conc"
 )
 
-// Defaults of Options.
+// Defaults of Options, and fixed limits and intervals of a member.
 const (
-	DefaultTick     = 50 * time.Millisecond
-	defaultInbox    = 4096
-	defaultQueue    = 8192
-	maxBatch        = 512
-	clockTick       = 5 * time.Second
-	snapshotEntries = 8192
-	snapshotBytes   = 16 << 20
-	statusRefresh   = 20
-	// mendTicks is how many ticks pass between two looks at the group's members: a
-	// change takes a round trip, an election ten to twenty ticks.
-	mendTicks           = 5
-	defaultReplyTimeout = 10 * time.Second
+	DefaultTick        = 50 * time.Millisecond
+	defaultInbox       = 4096
+	defaultQueue       = 8192
+	maxBatch           = 512
+	clockInterval      = 5 * time.Second
+	snapshotEntries    = 8192
+	snapshotBytes      = 16 << 20
+	statusRefreshTicks = 20
+	// membershipCheckTicks is how many ticks pass between two checks for a due
+	// membership change: a change takes one round trip, an election 10 to 20 ticks.
+	membershipCheckTicks = 5
+	defaultReplyTimeout  = 10 * time.Second
 )
 
-// Options of a member.
+// Options configures a Member.
 type Options struct {
 	ID       consensus.MemberID
 	Restored consensus.Restored
-	// Consensus may set bounds of the agreement; ID and Rand are required there.
+	// Consensus configures the consensus node. Rand is required; ID is set from the
+	// ID above.
 	Consensus consensus.Config
 	Limits    state.Limits
 	Storage   Storage
 	Transport Transport
-	// Tick is the agreement's unit of time.
+	// Tick is the interval at which the consensus node's clock advances.
 	Tick     time.Duration
 	Validate Validator
-	// Pace gives the pace of loads that a valid document sets.
+	// Pace returns the load pace that a valid document sets.
 	Pace     Pacer
 	Observer Observer
-	// SnapshotEntries is how many applied entries make a snapshot due.
+	// SnapshotEntries is the number of applied entries after which a snapshot is taken.
 	SnapshotEntries uint64
-	// Mend lets the group give votes to new members and remove lost ones by
-	// itself (core/regroup); without it an operator does so.
-	Mend bool
-	// Retries bounds the retries that the group grants; the zero value grants none.
+	// ManageMembers makes the leader promote new members and remove lost ones
+	// automatically (core/regroup). Without it an operator does so.
+	ManageMembers bool
+	// Retries limits the retries that the group grants; the zero value grants none.
 	Retries retrybudget.Limits
 }
 
-// Member is one member of the control group. Run drives it; all other methods
-// may be called from several goroutines.
+// Member is one member of the control group. Run drives it; all other exported
+// methods may be called from several goroutines.
 type Member struct {
-	opt       Options
-	node      *consensus.Node
-	inbox     chan consensus.Message
-	proposals chan *call
-	done      chan struct{}
-
-	// Used by the driving goroutine only.
-	pending     map[uint64]*call
-	reads       map[uint64][]*call
-	readyReads  []readyRead
-	changes     []*call
-	seq         uint64
-	clock       replicatedClock
-	role        consensus.Role
-	term        uint64
-	lastSnap    uint64
-	lastCommand time.Time
-	ticks       int
-	held        []heldChange
-	freezing    bool
-	frozen      chan frozen
-	encoding    conc.WaitGroup
-	members     consensus.Membership
-	keeper      *regroup.Planner // of this office; nil when not leading
-
-	// mu guards the state between Apply and its readers.
+	opt   Options
+	node  *consensus.Node
+	inbox chan consensus.Message
+	calls chan *call
+	done  chan struct{}
+
+	// The fields up to planner are used only by the goroutine of Run.
+	pending            map[uint64]*call
+	reads              map[uint64][]*call
+	confirmedReads     []confirmedRead
+	uncommittedChanges []*call
+	seq                uint64
+	clock              replicatedClock
+	role               consensus.Role
+	term               uint64
+	lastSnapshot       uint64
+	lastCommand        time.Time
+	ticks              int
+	delayedChanges     []delayedChange
+	encodingSnapshot   bool
+	encodedSnapshot    chan encodedSnapshot
+	snapshotWorkers    conc.WaitGroup
+	members            consensus.Membership
+	planner            *regroup.Planner // of the current leadership; nil while this member is not the leader
+
+	// mu guards state, changed and applied. The goroutine of Run, which alone writes
+	// them, may read them without it.
 	mu      sync.RWMutex
 	state   *state.State
-	changed chan struct{} // closed and replaced at what watchers are told
+	changed chan struct{} // closed and replaced when watchers have to be notified
 	applied uint64
 
-	status  atomic.Pointer[consensus.Status]
-	reports *reports
-	failure atomic.Pointer[error]
+	status    atomic.Pointer[consensus.Status]
+	reports   *reports
+	stopError atomic.Pointer[error]
 }
 
-// ErrStopped reports a member that no longer runs.
+// ErrStopped is the error of requests to a member that no longer runs.
 var ErrStopped = errors.New("control member has stopped")
 
-// NewMember makes a member from what its folder held. Run starts it.
+// NewMember returns a member with the state that was restored from its data
+// directory. Run starts it.
 func NewMember(opt Options) (*Member, error) {
 	if opt.Tick == 0 {
 		opt.Tick = DefaultTick
@@ -129,41 +132,42 @@
 		return nil, &api.Error{Step: api.StepRecover, Reason: api.ReasonInternal, Err: err}
 	}
 	m := &Member{
-		opt:       opt,
-		node:      node,
-		state:     st,
-		applied:   opt.Restored.Snapshot.Index,
-		lastSnap:  opt.Restored.Snapshot.Index,
-		inbox:     make(chan consensus.Message, defaultInbox),
-		proposals: make(chan *call, defaultQueue),
-		done:      make(chan struct{}),
-		changed:   make(chan struct{}),
-		frozen:    make(chan frozen, 1),
-		pending:   make(map[uint64]*call),
-		reads:     make(map[uint64][]*call),
-		reports:   newReports(),
+		opt:             opt,
+		node:            node,
+		state:           st,
+		applied:         opt.Restored.Snapshot.Index,
+		lastSnapshot:    opt.Restored.Snapshot.Index,
+		inbox:           make(chan consensus.Message, defaultInbox),
+		calls:           make(chan *call, defaultQueue),
+		done:            make(chan struct{}),
+		changed:         make(chan struct{}),
+		encodedSnapshot: make(chan encodedSnapshot, 1),
+		pending:         make(map[uint64]*call),
+		reads:           make(map[uint64][]*call),
+		reports:         newReports(),
 	}
 	status := node.Status()
 	m.status.Store(&status)
 	return m, nil
 }
 
-// ID gives the member's ID.
+// ID returns the member's ID.
 func (m *Member) ID() consensus.MemberID { return m.opt.ID }
 
-// Status gives the newest picture of the agreement.
+// Status returns the most recently published status of the consensus node.
 func (m *Member) Status() consensus.Status { return *m.status.Load() }
 
-// ConfigAt gives the newest configuration that this member has applied once that
-// is at least a revision; false if it isn't when ctx ends or waitApplied has passed.
-func (m *Member) ConfigAt(ctx context.Context, least api.Revision) (state.Config, bool) {
-	limit := time.NewTimer(waitApplied)
+// ConfigAt waits until this member has applied at least minRevision and returns the
+// newest applied configuration. It returns false if that does not happen before ctx
+// ends or applyTimeout has passed.
+func (m *Member) ConfigAt(ctx context.Context, minRevision api.Revision) (state.Config, bool) {
+	limit := time.NewTimer(applyTimeout)
 	defer limit.Stop()
 	for {
 		m.mu.RLock()
 		conf, changed := m.state.Current(), m.changed
 		m.mu.RUnlock()
-		if conf.Revision >= least {
+		if conf.Revision >= minRevision {
 			return conf, true
 		}
 		select {
@@ -176,12 +180,12 @@
 	}
 }
 
-// waitApplied is how long a member that lags may take to apply what a majority
-// has accepted before a read is refused.
-const waitApplied = 800 * time.Millisecond
+// applyTimeout is how long a member that lags may take to apply what a majority has
+// accepted before a read fails.
+const applyTimeout = 800 * time.Millisecond
 
-// Receive takes a peer's message. It never blocks: when the inbox is full the
-// message is dropped, which the agreement tolerates.
+// Receive queues a consensus message from a peer. It never blocks: if the inbox is
+// full, the message is dropped, which the consensus protocol tolerates.
 func (m *Member) Receive(msg consensus.Message) {
 	select {
 	case m.inbox <- msg:
@@ -193,7 +197,7 @@
 // Run drives the member until ctx is done or its storage fails.
 func (m *Member) Run(ctx context.Context) error {
 	err := m.loop(ctx)
-	m.encoding.Wait()
+	m.snapshotWorkers.Wait()
 	m.stop(err)
 	if err != nil {
 		m.opt.Observer.Failed(err)
@@ -216,10 +220,10 @@
 			m.tick()
 		case msg := <-m.inbox:
 			m.step(msg)
-		case c := <-m.proposals:
-			m.take(c)
-		case f := <-m.frozen:
-			if err := m.compact(f); err != nil {
+		case c := <-m.calls:
+			m.startCalls(c)
+		case enc := <-m.encodedSnapshot:
+			if err := m.compact(enc); err != nil {
 				return err
 			}
 		}
@@ -232,38 +236,40 @@
 func (m *Member) tick() {
 	m.node.Tick()
 	m.ticks++
-	if m.ticks%statusRefresh == 0 {
+	if m.ticks%statusRefreshTicks == 0 {
 		m.publish()
 	}
-	m.releaseChanges()
+	m.startDueChanges()
 	if m.role != consensus.RoleLeader {
-		m.keeper = nil
+		m.planner = nil
 		return
 	}
-	if m.opt.Mend && m.ticks%mendTicks == 0 {
-		m.mend()
+	if m.opt.ManageMembers && m.ticks%membershipCheckTicks == 0 {
+		m.proposeMembershipChange()
 	}
-	if time.Since(m.lastCommand) > clockTick {
-		m.keepClock()
+	if time.Since(m.lastCommand) > clockInterval {
+		m.proposeClockTick()
 	}
 }
 
-// mend makes the membership change that is due, if any. A refusal needs no more
-// than the next try: the agreement refuses what would cost the majority.
-func (m *Member) mend() {
-	if m.keeper == nil {
-		m.keeper = regroup.NewPlanner(regroup.DefaultLimits())
+// proposeMembershipChange proposes the membership change that is due, if any. A
+// rejected change needs no handling, because the next check plans again. The
+// consensus node rejects changes that would leave no active majority.
+func (m *Member) proposeMembershipChange() {
+	if m.planner == nil {
+		m.planner = regroup.NewPlanner(regroup.DefaultLimits())
 	}
 	st := m.node.Status()
-	change := m.keeper.Plan(&st, time.Now())
+	change := m.planner.Plan(&st, time.Now())
 	if change == nil {
 		return
 	}
 	err := m.node.ProposeChange(*change)
-	m.opt.Observer.Mended(*change, err)
+	m.opt.Observer.MembershipChangeProposed(*change, err)
 }
 
-// step takes a message and whatever else waits, so that one save covers all.
+// step processes a message and up to maxBatch more that are queued, so that one
+// save covers them all.
 func (m *Member) step(msg consensus.Message) {
 	_ = m.node.Step(msg)
 	for range maxBatch {
@@ -276,12 +282,12 @@
 	}
 }
 
-// process carries out the agreement's work in the order that its package
-// comment demands: save, then send, then apply and answer.
+// process handles the batches of work of the consensus node in the order that its
+// package comment requires: save, then send, then apply and answer.
 //
-// Votes, acknowledgements and replies promise what is on the disk. Nothing but Early leaves
-// this function's first half before Save has returned; an append promises nothing about the
-// leader's own copy.
+// Votes, acknowledgements and replies are promises about durable data, so nothing except the
+// messages in Early is sent before the save has returned. Early holds appends and heartbeats,
+// which promise nothing about the leader's own copy.
 func (m *Member) process() error {
 	for m.node.HasReady() {
 		rd := m.node.Ready()
@@ -295,12 +301,12 @@
 			m.opt.Transport.Send(msg)
 		}
 		m.apply(rd.Committed)
-		m.observeLeader(&rd)
+		m.handleLeaderChange(&rd)
 		m.collectReads(rd.Reads)
 		m.node.Advance()
 		m.answerReads()
 		m.answerChanges()
-		m.freeze()
+		m.maybeSnapshot()
 		m.publish()
 	}
 	return nil
@@ -308,7 +314,7 @@
 
 func (m *Member) save(rd *consensus.Ready) error {
 	if rd.Snapshot != nil {
-		if err := m.load(rd.Snapshot); err != nil {
+		if err := m.installSnapshot(rd.Snapshot); err != nil {
 			return err
 		}
 	}
@@ -327,8 +333,9 @@
 	return nil
 }
 
-// load replaces the state by a snapshot that the leader sent.
-func (m *Member) load(s *consensus.Snapshot) error {
+// installSnapshot replaces the state with a snapshot that the leader sent, and saves
+// the snapshot.
+func (m *Member) installSnapshot(s *consensus.Snapshot) error {
 	st, err := state.Restore(m.opt.Limits, s.Data)
 	if err != nil {
 		return &api.Error{Step: api.StepRecover, Outcome: api.OutcomeUnknown, Reason: api.ReasonInternal, Err: err}
@@ -341,8 +348,8 @@
 	defer m.mu.Unlock()
 	m.state = st
 	m.applied = s.Index
-	m.lastSnap = s.Index
-	m.announce()
+	m.lastSnapshot = s.Index
+	m.wakeWatchers()
 	return nil
 }
 
@@ -351,7 +358,7 @@
 		return
 	}
 	m.mu.Lock()
-	before := m.watched()
+	before := m.watchedVersions()
 	answers := make([]answer, 0, len(entries))
 	for _, e := range entries {
 		if e.Type == consensus.EntryCommand {
@@ -359,8 +366,8 @@
 		}
 		m.applied = e.Index
 	}
-	if m.watched() != before {
-		m.announce()
+	if m.watchedVersions() != before {
+		m.wakeWatchers()
 	}
 	m.mu.Unlock()
 	m.opt.Observer.Applied(len(entries))
@@ -369,36 +376,36 @@
 	}
 }
 
-// watched are the versions of what watchers are told.
-type watched struct {
-	revision           api.Revision
-	drained, evacuated uint64
-	limits, orders     uint64
+// watchedVersions holds the versions of everything that watchers are sent.
+type watchedVersions struct {
+	revision                    api.Revision
+	drainsIndex, evacuatedIndex uint64
+	limitsIndex, ordersVersion  uint64
 }
 
-func (m *Member) watched() watched {
-	return watched{
-		revision:  m.state.Current().Revision,
-		drained:   m.state.DrainIndex(),
-		evacuated: m.state.EvacuationIndex(),
-		limits:    m.state.LimitsIndex(),
-		orders:    m.state.Orders().Version(),
+func (m *Member) watchedVersions() watchedVersions {
+	return watchedVersions{
+		revision:       m.state.Current().Revision,
+		drainsIndex:    m.state.DrainIndex(),
+		evacuatedIndex: m.state.EvacuationIndex(),
+		limitsIndex:    m.state.LimitsIndex(),
+		ordersVersion:  m.state.Orders().Version(),
 	}
 }
 
-// answer is a reply that waits until the state's lock is free.
+// answer is a reply to a call that is sent once mu has been released.
 type answer struct {
 	call  *call
 	reply *Reply
 }
 
 func (m *Member) applyCommand(e consensus.Entry) []answer {
-	origin, seq, data, ok := unseal(e.Data)
+	proposer, seq, data, ok := decodeProposal(e.Data)
 	if !ok {
 		return nil
 	}
 	result := m.state.Apply(e.Index, data)
-	if origin != m.opt.ID {
+	if proposer != m.opt.ID {
 		return nil
 	}
 	c := m.pending[seq]
@@ -409,23 +416,24 @@
 	return []answer{{c, &Reply{Outcome: api.OutcomeCompleted, Result: &result}}}
 }
 
-// announce wakes the watchers. The state's lock is held.
-func (m *Member) announce() {
+// wakeWatchers notifies the watchers of a change. The caller holds mu.
+func (m *Member) wakeWatchers() {
 	close(m.changed)
 	m.changed = make(chan struct{})
 }
 
-// observeLeader notices the start and the end of this member's office. An
-// office is known by its term, for it may be lost and won between two batches.
-func (m *Member) observeLeader(rd *consensus.Ready) {
-	leads := rd.Role == consensus.RoleLeader
-	led := m.role == consensus.RoleLeader
-	another := rd.HardState.Term != m.term
-	if led && (!leads || another) {
+// handleLeaderChange handles the start and the end of this member's leadership.
+// It compares the term too, because leadership may be lost and won again between
+// two batches.
+func (m *Member) handleLeaderChange(rd *consensus.Ready) {
+	isLeader := rd.Role == consensus.RoleLeader
+	wasLeader := m.role == consensus.RoleLeader
+	newTerm := rd.HardState.Term != m.term
+	if wasLeader && (!isLeader || newTerm) {
 		m.failPending()
 	}
-	if leads && (!led || another) {
-		m.clock = startClock(m.state.Now(), time.Now())
+	if isLeader && (!wasLeader || newTerm) {
+		m.clock = newReplicatedClock(m.state.Now(), time.Now())
 	}
 	m.role = rd.Role
 	m.term = rd.HardState.Term
@@ -436,11 +444,11 @@
 	m.publish()
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	m.announce()
+	m.wakeWatchers()
 }
 
-// publish shows the agreement's picture to readers and the group's addresses to
-// the transport.
+// publish stores the status of the consensus node for readers, and passes the
+// group's membership to the transport if it has changed.
 func (m *Member) publish() {
 	st := m.node.Status()
 	m.status.Store(&st)
@@ -450,17 +458,17 @@
 	}
 }
 
-// stop fails everything that waits.
+// stop fails all waiting calls and all calls that are still queued.
 func (m *Member) stop(err error) {
 	if err == nil {
 		err = ErrStopped
 	}
-	m.failure.Store(&err)
+	m.stopError.Store(&err)
 	m.failPending()
 	close(m.done)
 	for {
 		select {
-		case c := <-m.proposals:
+		case c := <-m.calls:
 			c.answer(&Reply{Outcome: api.OutcomeNotRun, Reason: api.ReasonControlUnavailable, Message: ErrStopped.Error()})
 		default:
 			return
--- a/node/control/messages.go
+++ b/node/control/messages.go
@@ -26,25 +26,25 @@
 	kindLimits
 )
 
-// Peer carries one message of the agreement between two members.
+// Peer carries one consensus message between two members.
 type Peer struct {
 	Message consensus.Message `cbor:"1,keyasint"`
 }
 
-// MemberChange asks the leader for a change of the control group.
+// MemberChange asks the leader for a membership change of the control group.
 type MemberChange struct {
 	Type consensus.ChangeType `cbor:"1,keyasint"`
 	ID   consensus.MemberID   `cbor:"2,keyasint"`
 	Addr string               `cbor:"3,keyasint,omitempty"`
 }
 
-// Request asks a member for one thing; exactly one field besides ID is set.
-// Only the leader answers requests; others reply with its address.
+// Request is a request to a member; exactly one field besides ID is set. Only the
+// leader executes requests; other members reply with the leader's address.
 type Request struct {
 	ID      uint64         `cbor:"1,keyasint"`
 	Command *state.Command `cbor:"2,keyasint,omitempty"`
-	// Read asks for the highest accepted revision and the evacuated zones, confirmed by a
-	// majority.
+	// Read asks for the highest accepted revision and the evacuated availability zones,
+	// confirmed by a majority.
 	Read   bool          `cbor:"3,keyasint,omitempty"`
 	Change *MemberChange `cbor:"4,keyasint,omitempty"`
 	// Status asks for the leader's view of the fleet.
@@ -52,8 +52,9 @@
 }
 
 // Reply answers the Request with the same ID. Outcome completed means that the
-// command was applied, whatever its Result says; not_run that it never will be;
-// unknown that it may be. Leader is where to ask instead.
+// command was applied, whatever its Result says; not_run means that it never will
+// be; unknown means that it may be. Leader is the address to send the request to
+// instead.
 type Reply struct {
 	ID         uint64        `cbor:"1,keyasint"`
 	Outcome    api.Outcome   `cbor:"2,keyasint"`
@@ -63,20 +64,21 @@
 	Leader     string        `cbor:"6,keyasint,omitempty"`
 	Result     *state.Result `cbor:"7,keyasint,omitempty"`
 	Revision   api.Revision  `cbor:"8,keyasint,omitempty"`
-	// Evacuated answers a Read beside Revision.
+	// Evacuated and Revision answer a Read.
 	Evacuated *state.Evacuated `cbor:"10,keyasint,omitempty"`
-	// Status is the JSON of an opapi.Status.
+	// Status is the JSON encoding of an opapi.Status.
 	Status []byte `cbor:"9,keyasint,omitempty"`
 }
 
-// Watch asks for every configuration above From, and for those to come.
+// Watch subscribes to configurations with a revision above From: the current one
+// and later ones. A revision may be skipped if the next one is applied soon after it.
 type Watch struct {
 	From api.Revision `cbor:"1,keyasint,omitempty"`
-	// Whole asks that the first update be no patch.
+	// Whole asks for a whole document instead of a patch in the first update.
 	Whole bool `cbor:"2,keyasint,omitempty"`
 }
 
-// Update carries a configuration: whole, or as a patch to the one at Base.
+// Update carries a configuration, either whole or as a patch to revision Base.
 type Update struct {
 	Revision api.Revision `cbor:"1,keyasint"`
 	Base     api.Revision `cbor:"2,keyasint,omitempty"`
@@ -84,25 +86,25 @@
 	Document []byte       `cbor:"4,keyasint,omitempty"`
 }
 
-// Report tells what an instance runs, and which targets it has links to. It is
-// sent at an interval and whenever it changes; the leader keeps it in memory only.
+// Report describes what an instance runs and which targets it has links to. It is
+// sent at an interval. The members that receive it keep it in memory only.
 type Report struct {
 	Instance api.InstanceID `cbor:"1,keyasint"`
 	Site     api.Site       `cbor:"2,keyasint,omitempty"`
 	Zone     api.Zone       `cbor:"3,keyasint,omitempty"`
 	Revision api.Revision   `cbor:"4,keyasint,omitempty"`
 	Targets  []TargetReport `cbor:"5,keyasint,omitempty"`
-	// Nodes are the agents behind this entry and the revision each one runs.
+	// Nodes are the agents connected to this entry and the revision that each runs.
 	Nodes []NodeReport `cbor:"6,keyasint,omitempty"`
-	// Same tells that all is as in the last report on this link; only Instance
-	// is set beside it. SameTargets tells it of Targets alone.
+	// Same means that nothing has changed since the last report on this link; only
+	// Instance is set in addition. SameTargets means that Targets have not changed.
 	Same        bool `cbor:"8,keyasint,omitempty"`
 	SameTargets bool `cbor:"9,keyasint,omitempty"`
-	// Links is the address at which an entry takes agents' links.
+	// Links is the address at which an entry accepts links of agents.
 	Links string `cbor:"7,keyasint,omitempty"`
 }
 
-// TargetReport is one target as an entry sees it.
+// TargetReport describes one target that an entry has a link to.
 type TargetReport struct {
 	Target      api.TargetID    `cbor:"1,keyasint"`
 	Incarnation api.Incarnation `cbor:"2,keyasint"`
@@ -110,22 +112,23 @@
 	Leaving     bool            `cbor:"4,keyasint,omitempty"`
 }
 
-// NodeReport is the revision in force at one instance behind an entry.
+// NodeReport is the revision that one instance behind an entry runs.
 type NodeReport struct {
 	Instance api.InstanceID `cbor:"1,keyasint"`
 	Site     api.Site       `cbor:"2,keyasint,omitempty"`
 	Revision api.Revision   `cbor:"3,keyasint,omitempty"`
 }
 
-// Leader tells a client who leads. Addr is empty when no leader is known.
+// Leader tells a client which member is the leader. Addr is empty if no leader is
+// known.
 type Leader struct {
 	Self bool   `cbor:"1,keyasint,omitempty"`
 	Addr string `cbor:"2,keyasint,omitempty"`
-	// Members are the link addresses of the whole group, so that a client that
-	// was given few seeds, or seeds that are gone, can still find the others.
+	// Members are the link addresses of the whole group, so that a client that was
+	// given few seeds, or seeds that no longer exist, can still find other members.
 	Members []string `cbor:"3,keyasint,omitempty"`
-	// Groupless tells that the member that says so belongs to no group yet, as after the
-	// loss of its disk: it learns of an election only once it has been added again.
+	// Groupless means that the sending member belongs to no group, for example after the
+	// loss of its disk. It learns of a leader only once it has been added again.
 	Groupless bool `cbor:"4,keyasint,omitempty"`
 }
 
@@ -133,8 +136,8 @@
 	return l.Self == o.Self && l.Addr == o.Addr && l.Groupless == o.Groupless && slices.Equal(l.Members, o.Members)
 }
 
-// Drains lists all targets that operators drain at the log index Index. A list
-// with a lower index than one seen before is out of date.
+// Drains lists all targets that operators drain as of log index Index. A list with a
+// lower index than an earlier one is outdated.
 type Drains struct {
 	Index   uint64        `cbor:"1,keyasint,omitempty"`
 	Targets []state.Drain `cbor:"2,keyasint,omitempty"`
@@ -161,14 +164,14 @@
 // Kind implements wire.Message.
 func (*Leader) Kind() wire.Kind { return kindLeader }
 
-// Entries lists the entries that have reported of late, in the order of their
-// names. It answers a Report when the list is another than the session was told.
+// Entries lists the entries that have reported recently, sorted by name. The leader
+// sends it after a Report if the list differs from the last one sent on the link.
 type Entries struct {
 	List []wire.EntryInfo `cbor:"1,keyasint"`
 }
 
-// Orders lists the targets that have an order waiting and none in flight. It is
-// only a hint to ask; what is handed out is decided by the log.
+// Orders lists the targets that have an order waiting and none in flight. It is only
+// a hint to ask for the order; the replicated log decides which order is assigned.
 type Orders struct {
 	Ready []api.TargetID `cbor:"1,keyasint,omitempty"`
 }
@@ -178,7 +181,7 @@
 	state.Evacuated
 }
 
-// Limits lists the limits that targets name.
+// Limits lists the limits that targets have stated.
 type Limits struct {
 	state.TargetLimits
 }
@@ -198,7 +201,7 @@
 // Kind implements wire.Message.
 func (*Entries) Kind() wire.Kind { return kindEntries }
 
-// Protos lists the messages of control links.
+// Protos returns the messages of control links.
 func Protos() []wire.Proto {
 	return []wire.Proto{
 		wire.ProtoOf[Peer](),
--- a/node/control/observe.go
+++ b/node/control/observe.go
@@ -14,7 +14,7 @@
 
 const namespace = "almondseam_control"
 
-// Metrics is the Observer of a running member: counters and events.
+// Metrics implements Observer with Prometheus metrics and log events.
 type Metrics struct {
 	log       *zerolog.Logger
 	saves     *prometheus.HistogramVec
@@ -23,13 +23,13 @@
 	refusals  *prometheus.CounterVec
 	leaders   prometheus.Counter
 	term      prometheus.Gauge
-	leads     prometheus.Gauge
+	isLeader  prometheus.Gauge
 	snapshots *prometheus.CounterVec
 	dropped   prometheus.Counter
 	self      atomic.Uint64
 }
 
-// NewMetrics registers a member's metrics.
+// NewMetrics registers the metrics of the member self and returns its Observer.
 func NewMetrics(reg prometheus.Registerer, log *zerolog.Logger, self consensus.MemberID) *Metrics {
 	f := promauto.With(reg)
 	counter := func(name, help string) prometheus.CounterOpts {
@@ -51,7 +51,7 @@
 		refusals:  f.NewCounterVec(counter("refusals_total", "Requests to this member that were refused, by reason."), []string{"reason"}),
 		leaders:   f.NewCounter(counter("leader_changes_total", "Changes of leader seen by this member.")),
 		term:      f.NewGauge(gauge("term", "Term of the agreement.")),
-		leads:     f.NewGauge(gauge("leads", "1 while this member leads.")),
+		isLeader:  f.NewGauge(gauge("leads", "1 while this member leads.")),
 		snapshots: f.NewCounterVec(counter("snapshots_total", "Snapshots, taken here or received."), []string{"how"}),
 		dropped:   f.NewCounter(counter("inbox_dropped_total", "Messages of peers dropped for want of room.")),
 	}
@@ -62,8 +62,8 @@
 	return m
 }
 
-// Is sets whose metrics these are: a member whose folder was lost comes back as
-// another.
+// Is sets the ID of the observed member. A member whose data directory was lost
+// rejoins under a new ID.
 func (m *Metrics) Is(self consensus.MemberID) { m.self.Store(uint64(self)) }
 
 // Saved implements Observer.
@@ -91,9 +91,9 @@
 func (m *Metrics) LeaderChanged(leader consensus.MemberID, term uint64) {
 	m.leaders.Inc()
 	m.term.Set(float64(term))
-	m.leads.Set(0)
+	m.isLeader.Set(0)
 	if uint64(leader) == m.self.Load() {
-		m.leads.Set(1)
+		m.isLeader.Set(1)
 	}
 	e := events.ControlLeader
 	if leader == 0 {
@@ -115,8 +115,8 @@
 // InboxFull implements Observer.
 func (m *Metrics) InboxFull() { m.dropped.Inc() }
 
-// Mended implements Observer.
-func (m *Metrics) Mended(c consensus.Change, err error) {
+// MembershipChangeProposed implements Observer.
+func (m *Metrics) MembershipChangeProposed(c consensus.Change, err error) {
 	events.ControlMended.Log(m.log).Str("change", c.Type.String()).Uint64("member", uint64(c.ID)).AnErr("refused", err).Send()
 }
 
--- a/node/control/opapi/opapi.go
+++ b/node/control/opapi/opapi.go
@@ -1,5 +1,5 @@
-// Package opapi holds the JSON documents of the operator interface, as the
-// control role serves them and almondctl reads them. Times are RFC 3339.
+// Package opapi defines the JSON documents of the operator interface, which the
+// control role serves and almondctl reads. Times are in RFC 3339 format.
 package opapi
 
 import (
@@ -21,23 +21,24 @@
 	PathClaims  = "/v1/claims"
 )
 
-// Error is the body of every answer that is not 200. Outcome "not_run" means
-// that the change was not made and never will be; "unknown" means that it may
-// have been, and that sending it again with the same change ID is safe.
+// Error is the body of every response whose status is not 200. Outcome "not_run"
+// means that the change was not made and never will be; "unknown" means that it may
+// have been made, and that sending it again with the same change ID is safe.
 type Error struct {
 	Outcome api.Outcome `json:"outcome"`
 	Reason  api.Reason  `json:"reason"`
 	Message string      `json:"message"`
 }
 
-// Status is the fleet at a glance, as one member sees it.
+// Status is an overview of the fleet as one member sees it.
 type Status struct {
-	// Answered is the member that gave this view.
+	// Answered is the ID of the member whose view this is.
 	Answered uint64 `json:"answered"`
-	// Leader is zero when this member knows none.
+	// Leader is zero if this member knows no leader.
 	Leader uint64 `json:"leader"`
 	Term   uint64 `json:"term"`
-	// Majority tells whether the view was confirmed by a majority.
+	// Majority reports whether the member whose view this is was the leader. No
+	// majority is asked about the view itself.
 	Majority bool     `json:"majority"`
 	Commit   uint64   `json:"commit"`
 	Members  []Member `json:"members"`
@@ -48,20 +49,22 @@
 	Claims   int          `json:"claims"`
 }
 
-// Member is one member of the control group. Lag counts log entries behind the
-// leader and is only known to the leader.
+// Member is one member of the control group. Lag is the number of log entries by which
+// it is behind the leader. Active reports whether it has responded recently. Views of
+// other members than the leader have no Lag, and Active only for the leader.
 type Member struct {
 	ID      uint64 `json:"id"`
 	Address string `json:"address"`
-	// Operator is the address of its operator interface, once it has told.
+	// Operator is the address of the member's operator interface, empty until the
+	// member has registered it.
 	Operator string `json:"operator"`
 	Role     string `json:"role"`
 	Lag      uint64 `json:"lag"`
 	Active   bool   `json:"active"`
 }
 
-// Site tells which revision a site runs: Lowest over its instances that have
-// reported lately.
+// Site describes which revisions a site runs: the lowest and the highest among its
+// instances that have reported recently.
 type Site struct {
 	Site      api.Site     `json:"site"`
 	Instances int          `json:"instances"`
@@ -69,7 +72,7 @@
 	Highest   api.Revision `json:"highest"`
 }
 
-// Target is one announced target.
+// Target is one target that entries have reported.
 type Target struct {
 	ID          api.TargetID    `json:"id"`
 	Incarnation api.Incarnation `json:"incarnation"`
@@ -78,8 +81,8 @@
 	Seen        time.Time       `json:"seen"`
 }
 
-// ConfigPut asks for a new configuration on top of revision Base. ChangeID is
-// the operator's own; sent again it gets the first answer.
+// ConfigPut asks for a new configuration on top of revision Base. The operator chooses
+// ChangeID; a request that is repeated with the same ChangeID gets the first answer.
 type ConfigPut struct {
 	ChangeID string       `json:"change_id"`
 	Author   string       `json:"author"`
@@ -87,8 +90,8 @@
 	Document []byte       `json:"document"`
 }
 
-// ConfigResult answers a ConfigPut. When Accepted is false another change was
-// first: Current, Author and ChangeID tell which.
+// ConfigResult answers a ConfigPut. If Accepted is false, another change was accepted
+// first, which Current, Author and ChangeID identify.
 type ConfigResult struct {
 	Accepted bool         `json:"accepted"`
 	Repeated bool         `json:"repeated"`
@@ -98,7 +101,7 @@
 	Message  string       `json:"message"`
 }
 
-// Revision is one accepted configuration. Document is nil in a history.
+// Revision is one accepted configuration. Document is nil in the history.
 type Revision struct {
 	Revision api.Revision `json:"revision"`
 	ChangeID string       `json:"change_id"`
@@ -108,8 +111,9 @@
 	Document []byte       `json:"document,omitempty"`
 }
 
-// Order is an order to a target. ID names it for ever: sent again it is the
-// same order. Fence, State and Message are set by the fleet.
+// Order is an order to a target. ID identifies it permanently: a request that is
+// repeated with the same ID refers to the same order. The control group sets Fence,
+// State and Message.
 type Order struct {
 	ID      string       `json:"id"`
 	Fence   api.Fence    `json:"fence"`
@@ -125,8 +129,9 @@
 	Bytes   int64        `json:"bytes,omitempty"`
 }
 
-// Drain asks that a target get no new work. Incarnation 0 means whichever runs;
-// with another one the drain ends when the target comes back.
+// Drain asks that a target get no new work, or with Undo that it get work again. With
+// Incarnation 0 the drain applies to all incarnations; otherwise it ends when the
+// target restarts under another incarnation.
 type Drain struct {
 	Target      api.TargetID    `json:"target"`
 	Incarnation api.Incarnation `json:"incarnation"`
@@ -135,8 +140,8 @@
 }
 
 // ZoneOrder asks that the targets of an availability zone get no new work, or that they
-// get it again. In a list it is the last order for each zone, with the log index at which
-// it took effect.
+// get work again. A list holds the last order for each availability zone with the log index
+// at which it took effect.
 type ZoneOrder struct {
 	Zone      api.Zone `json:"zone"`
 	Evacuated bool     `json:"evacuated"`
@@ -144,14 +149,14 @@
 	Index     uint64   `json:"index,omitempty"`
 }
 
-// The changes of the control group.
+// The membership changes of the control group.
 const (
 	MemberAdd     = "add"
 	MemberPromote = "promote"
 	MemberRemove  = "remove"
 )
 
-// MemberChange asks for a change of the control group. Address matters for
+// MemberChange asks for a membership change of the control group. Address is used by
 // MemberAdd only.
 type MemberChange struct {
 	Change  string `json:"change"`
@@ -159,7 +164,7 @@
 	Address string `json:"address,omitempty"`
 }
 
-// Claim is what is known of the call that a request was granted.
+// Claim describes the claim for the call of a request.
 type Claim struct {
 	Found       bool            `json:"found"`
 	Request     api.RequestID   `json:"request"`
@@ -171,9 +176,9 @@
 	Target      api.TargetID    `json:"target"`
 	Incarnation api.Incarnation `json:"incarnation"`
 	Outcome     api.Outcome     `json:"outcome"`
-	// Kept tells that the whole answer is still held.
+	// Kept reports whether the whole answer is still stored.
 	Kept bool `json:"kept"`
-	// Undecided tells that nothing proves whether the call ran, and that it
-	// can no longer start.
+	// Undecided reports that nothing proves whether the call ran, and that it can no
+	// longer start.
 	Undecided bool `json:"undecided"`
 }
--- a/node/control/operator.go
+++ b/node/control/operator.go
@@ -17,75 +17,75 @@
 
 const (
 	operatorBodyLimit = 2 << 20
-	bearer            = "Bearer "
+	bearerPrefix      = "Bearer "
 )
 
-// Operator serves the operator interface of one member over HTTP. What only the
-// leader can do is passed on to it.
+// Operator serves the operator interface of one member over HTTP. Requests that only
+// the leader can execute are forwarded to it.
 type Operator struct {
 	member *Member
 	exec   *executor
 	token  []byte
 }
 
-// NewOperator makes the interface; token must not be empty.
+// NewOperator returns the interface. With an empty token it rejects every request.
 func NewOperator(x *executor, token string) *Operator {
 	return &Operator{member: x.member, exec: x, token: []byte(token)}
 }
 
-// App gives the fiber app to listen with.
+// App returns the fiber application that serves the interface.
 func (o *Operator) App() *fiber.App {
-	app := fiber.New(fiber.Config{BodyLimit: operatorBodyLimit, ErrorHandler: o.fault})
+	app := fiber.New(fiber.Config{BodyLimit: operatorBodyLimit, ErrorHandler: o.handleError})
 	app.Use(o.authenticate)
-	app.Get(opapi.PathStatus, o.status)
-	app.Get(opapi.PathTargets, o.targets)
-	app.Post(opapi.PathDrain, o.drain)
-	app.Get(opapi.PathConfig, o.configGet)
-	app.Post(opapi.PathConfig, o.configPut)
-	app.Get(opapi.PathHistory, o.history)
-	app.Get(opapi.PathOrders, o.orders)
-	app.Post(opapi.PathOrders, o.orderPut)
-	app.Get(opapi.PathZones, o.zones)
-	app.Post(opapi.PathZones, o.zonePut)
-	app.Get(opapi.PathMembers, o.members)
-	app.Post(opapi.PathMembers, o.memberPut)
-	app.Get(opapi.PathClaims, o.claims)
+	app.Get(opapi.PathStatus, o.getStatus)
+	app.Get(opapi.PathTargets, o.listTargets)
+	app.Post(opapi.PathDrain, o.putDrain)
+	app.Get(opapi.PathConfig, o.getConfig)
+	app.Post(opapi.PathConfig, o.putConfig)
+	app.Get(opapi.PathHistory, o.listHistory)
+	app.Get(opapi.PathOrders, o.listOrders)
+	app.Post(opapi.PathOrders, o.putOrder)
+	app.Get(opapi.PathZones, o.listZones)
+	app.Post(opapi.PathZones, o.putZone)
+	app.Get(opapi.PathMembers, o.listMembers)
+	app.Post(opapi.PathMembers, o.putMember)
+	app.Get(opapi.PathClaims, o.findClaim)
 	return app
 }
 
-// authenticate compares the token in constant time and counts refusals. An empty
-// token of the member's own lets nobody in.
+// authenticate compares the token in constant time and counts rejected requests. If
+// the member's own token is empty, every request is rejected.
 func (o *Operator) authenticate(c fiber.Ctx) error {
-	given, ok := strings.CutPrefix(c.Get(fiber.HeaderAuthorization), bearer)
+	given, ok := strings.CutPrefix(c.Get(fiber.HeaderAuthorization), bearerPrefix)
 	if !ok || len(o.token) == 0 || subtle.ConstantTimeCompare([]byte(given), o.token) != 1 {
 		return o.refuse(c, api.OutcomeNotRun, api.ReasonUnauthenticated, "operator token is missing or wrong")
 	}
 	return c.Next()
 }
 
-func (o *Operator) fault(c fiber.Ctx, err error) error {
+func (o *Operator) handleError(c fiber.Ctx, err error) error {
 	return o.refuse(c, api.OutcomeNotRun, api.ReasonBadRequest, err.Error())
 }
 
-// refuse answers with a reason and counts it.
+// refuse rejects a request with a reason, which it counts.
 func (o *Operator) refuse(c fiber.Ctx, outcome api.Outcome, reason api.Reason, message string) error {
 	o.member.opt.Observer.Refused(reason)
 	return c.Status(api.Reasons[reason].Status).JSON(opapi.Error{Outcome: outcome, Reason: reason, Message: message})
 }
 
-func (o *Operator) status(c fiber.Ctx) error {
+func (o *Operator) getStatus(c fiber.Ctx) error {
 	r := o.exec.run(Request{Status: true})
 	if r.Outcome == api.OutcomeCompleted {
 		c.Set(fiber.HeaderContentType, fiber.MIMEApplicationJSON)
 		return c.Send(r.Status)
 	}
-	// Without a leader the member's own view still helps; it says that no
-	// majority stands behind it.
+	// Without a leader the member's own view is still useful; its Majority field is
+	// false.
 	st := o.member.Status()
 	return c.JSON(o.member.view(&st, time.Now()))
 }
 
-func (o *Operator) targets(c fiber.Ctx) error {
+func (o *Operator) listTargets(c fiber.Ctx) error {
 	r := o.exec.run(Request{Status: true})
 	if r.Outcome != api.OutcomeCompleted {
 		return o.refuse(c, r.Outcome, r.Reason, r.Message)
@@ -97,7 +97,7 @@
 	return c.JSON(s.Targets)
 }
 
-func (o *Operator) configPut(c fiber.Ctx) error {
+func (o *Operator) putConfig(c fiber.Ctx) error {
 	var in opapi.ConfigPut
 	if err := json.Unmarshal(c.Body(), &in); err != nil {
 		return o.refuse(c, api.OutcomeNotRun, api.ReasonBadRequest, err.Error())
@@ -128,10 +128,10 @@
 	return o.refuse(c, api.OutcomeNotRun, r.Reason, r.Message)
 }
 
-// configGet gives one revision with its document; without a number the one in
-// force, as the leader knows it.
-func (o *Operator) configGet(c fiber.Ctx) error {
-	want, err := strconv.ParseUint(c.Query("revision", "0"), 10, 64)
+// getConfig returns one revision with its document. Without a revision number it
+// returns the current one, which is at least the highest that a majority confirmed.
+func (o *Operator) getConfig(c fiber.Ctx) error {
+	revision, err := strconv.ParseUint(c.Query("revision", "0"), 10, 64)
 	if err != nil {
 		return o.refuse(c, api.OutcomeNotRun, api.ReasonBadRequest, err.Error())
 	}
@@ -142,8 +142,8 @@
 	m.mu.RLock()
 	defer m.mu.RUnlock()
 	found, ok := m.state.Current(), true
-	if want != 0 {
-		found, ok = m.state.Revision(api.Revision(want))
+	if revision != 0 {
+		found, ok = m.state.Revision(api.Revision(revision))
 	}
 	if !ok || found.Revision == 0 {
 		return o.refuse(c, api.OutcomeNotRun, api.ReasonNoConfig, "no such revision is kept")
@@ -151,7 +151,7 @@
 	return c.JSON(revisionOf(found))
 }
 
-func (o *Operator) history(c fiber.Ctx) error {
+func (o *Operator) listHistory(c fiber.Ctx) error {
 	if err := o.catchUp(); err != nil {
 		return o.refuse(c, err.Outcome, err.Reason, err.Error())
 	}
@@ -177,8 +177,9 @@
 	}
 }
 
-// catchUp asks a majority for the highest revision and waits until this member
-// has it, so that an operator never reads less than was accepted before.
+// catchUp reads the highest revision, confirmed by a majority, and waits until this
+// member has applied it, so that an operator never reads an older revision than was
+// accepted before the request.
 func (o *Operator) catchUp() *api.Error {
 	r := o.exec.run(Request{Read: true})
 	if r.Outcome != api.OutcomeCompleted {
@@ -186,7 +187,7 @@
 	}
 	limit := time.After(operatorTimeout)
 	for {
-		view, changed := o.member.watchView()
+		view, changed := o.member.watcherView()
 		if view.config.Revision >= r.Revision {
 			return nil
 		}
@@ -198,7 +199,7 @@
 	}
 }
 
-func (o *Operator) orders(c fiber.Ctx) error {
+func (o *Operator) listOrders(c fiber.Ctx) error {
 	m := o.member
 	m.mu.RLock()
 	defer m.mu.RUnlock()
@@ -218,7 +219,7 @@
 	}
 }
 
-func (o *Operator) orderPut(c fiber.Ctx) error {
+func (o *Operator) putOrder(c fiber.Ctx) error {
 	var in opapi.Order
 	if err := json.Unmarshal(c.Body(), &in); err != nil {
 		return o.refuse(c, api.OutcomeNotRun, api.ReasonBadRequest, err.Error())
@@ -237,7 +238,7 @@
 	return c.JSON(orderOf(*r.Result.Order))
 }
 
-func (o *Operator) drain(c fiber.Ctx) error {
+func (o *Operator) putDrain(c fiber.Ctx) error {
 	var in opapi.Drain
 	if err := json.Unmarshal(c.Body(), &in); err != nil {
 		return o.refuse(c, api.OutcomeNotRun, api.ReasonBadRequest, err.Error())
@@ -256,7 +257,7 @@
 	return c.JSON(in)
 }
 
-func (o *Operator) zonePut(c fiber.Ctx) error {
+func (o *Operator) putZone(c fiber.Ctx) error {
 	var in opapi.ZoneOrder
 	if err := json.Unmarshal(c.Body(), &in); err != nil {
 		return o.refuse(c, api.OutcomeNotRun, api.ReasonBadRequest, err.Error())
@@ -270,14 +271,15 @@
 	return c.JSON(in)
 }
 
-// zones lists the last order for each availability zone. The leader's list is waited for,
-// so that an operator never reads less than was confirmed before.
-func (o *Operator) zones(c fiber.Ctx) error {
+// listZones lists the last evacuation order for each availability zone. It first waits until
+// this member has applied the orders up to the log index that the leader has confirmed, so that
+// an operator sees every order that was confirmed before the request.
+func (o *Operator) listZones(c fiber.Ctx) error {
 	r := o.exec.run(Request{Read: true})
 	if r.Outcome != api.OutcomeCompleted || r.Evacuated == nil {
 		return o.refuse(c, api.OutcomeNotRun, api.ReasonControlUnavailable, r.Message)
 	}
-	if !o.member.awaitEvacuated(r.Evacuated.Index) {
+	if !o.member.waitForEvacuations(r.Evacuated.Index) {
 		return o.refuse(c, api.OutcomeNotRun, api.ReasonControlUnavailable, "this member lags behind the leader")
 	}
 	list := []opapi.ZoneOrder{}
@@ -287,7 +289,7 @@
 	return c.JSON(list)
 }
 
-func (o *Operator) members(c fiber.Ctx) error {
+func (o *Operator) listMembers(c fiber.Ctx) error {
 	r := o.exec.run(Request{Status: true})
 	if r.Outcome != api.OutcomeCompleted {
 		return o.refuse(c, r.Outcome, r.Reason, r.Message)
@@ -299,29 +301,29 @@
 	return c.JSON(s.Members)
 }
 
-var changeTypes = map[string]consensus.ChangeType{
+var memberChangeTypes = map[string]consensus.ChangeType{
 	opapi.MemberAdd:     consensus.ChangeAddLearner,
 	opapi.MemberPromote: consensus.ChangePromote,
 	opapi.MemberRemove:  consensus.ChangeRemove,
 }
 
-func (o *Operator) memberPut(c fiber.Ctx) error {
+func (o *Operator) putMember(c fiber.Ctx) error {
 	var in opapi.MemberChange
 	if err := json.Unmarshal(c.Body(), &in); err != nil {
 		return o.refuse(c, api.OutcomeNotRun, api.ReasonBadRequest, err.Error())
 	}
-	kind, ok := changeTypes[in.Change]
+	changeType, ok := memberChangeTypes[in.Change]
 	if !ok || in.ID == 0 {
 		return o.refuse(c, api.OutcomeNotRun, api.ReasonBadRequest, "change or member ID is not valid")
 	}
-	r := o.exec.run(Request{Change: &MemberChange{Type: kind, ID: consensus.MemberID(in.ID), Addr: in.Address}})
+	r := o.exec.run(Request{Change: &MemberChange{Type: changeType, ID: consensus.MemberID(in.ID), Addr: in.Address}})
 	if r.Outcome != api.OutcomeCompleted {
 		return o.refuse(c, r.Outcome, r.Reason, r.Message)
 	}
 	return c.JSON(in)
 }
 
-func (o *Operator) claims(c fiber.Ctx) error {
+func (o *Operator) findClaim(c fiber.Ctx) error {
 	id := api.RequestID(strings.Clone(c.Query("request")))
 	if err := o.catchUp(); err != nil {
 		return o.refuse(c, err.Outcome, err.Reason, err.Error())
--- a/node/control/recovery_test.go
+++ b/node/control/recovery_test.go
@@ -37,7 +37,7 @@
 				}
 				m := g.start(3)
 				g.settle()
-				view, _ := m.watchView()
+				view, _ := m.watcherView()
 				qt.Assert(t, view.config.Revision, qt.Equals, api.Revision(401))
 				sameState(t, g)
 			})
@@ -101,7 +101,7 @@
 		g.settle()
 		g.kill(1)
 		qt.Assert(t, g.put("c1", 1, "doc 1").Accepted, qt.IsTrue)
-		view, _ := g.member(4).watchView()
+		view, _ := g.member(4).watcherView()
 		qt.Assert(t, view.config.Revision >= 1, qt.IsTrue)
 	})
 }
--- a/node/control/reports.go
+++ b/node/control/reports.go
@@ -13,33 +13,33 @@
 	"almondseam.dev/node/wire"
 )
 
-// reports holds what instances last told of themselves. It is kept in memory by
-// every member that hears of it; a new leader knows all within one interval.
+// reports holds the last report of each instance. Every member keeps the reports that
+// it receives in memory; a new leader has all reports within one report interval.
 type reports struct {
 	mu        sync.Mutex
-	instances map[api.InstanceID]heard
+	instances map[api.InstanceID]receivedReport
 	targets   *membership.View
 }
 
-type heard struct {
+type receivedReport struct {
 	Report
-	at time.Time
+	receivedAt time.Time
 }
 
-// reportLife is how long a report counts; instances report every few seconds.
-const reportLife = 30 * time.Second
+// reportTTL is how long a report is valid; instances report every few seconds.
+const reportTTL = 30 * time.Second
 
 func newReports() *reports {
 	return &reports{
-		instances: make(map[api.InstanceID]heard),
+		instances: make(map[api.InstanceID]receivedReport),
 		targets:   membership.NewView(membership.DefaultLimits()),
 	}
 }
 
-// put takes a report. What it says to be the same is taken from the instance's
-// last one; a member that never heard that has nothing to renew, and learns it
-// with the next link's first report.
-func (r *reports) put(rep Report, now time.Time) {
+// record stores a report. The parts that it marks as unchanged are taken from the
+// instance's last report. A member that has no earlier report of the instance ignores
+// a report with unchanged parts; it gets a whole one when the instance next connects.
+func (r *reports) record(rep Report, now time.Time) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	last, known := r.instances[rep.Instance]
@@ -53,7 +53,7 @@
 		rep.Targets = last.Targets
 		rep.SameTargets = false
 	}
-	r.instances[rep.Instance] = heard{rep, now}
+	r.instances[rep.Instance] = receivedReport{rep, now}
 	seen := make([]membership.Observation, len(rep.Targets))
 	for i, t := range rep.Targets {
 		seen[i] = membership.Observation{Target: t.Target, Incarnation: t.Incarnation, Zone: t.Zone, Leaving: t.Leaving}
@@ -61,34 +61,36 @@
 	r.targets.Report(now, rep.Instance, seen)
 }
 
-// entries lists the live entries by name. One that is silent stays for the life
-// of a report: a link that stalls for seconds must not make all agents move.
+// entries returns the live entries, sorted by name. A silent entry stays in the list
+// for reportTTL, so that a link that stalls for seconds does not make all agents
+// connect to other entries.
 func (r *reports) entries(now time.Time) []wire.EntryInfo {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	var out []wire.EntryInfo
-	for id, h := range r.instances {
-		if h.Links != "" && now.Sub(h.at) <= reportLife {
-			out = append(out, wire.EntryInfo{Instance: id, Zone: h.Zone, Addr: h.Links})
+	for id, rep := range r.instances {
+		if rep.Links != "" && now.Sub(rep.receivedAt) <= reportTTL {
+			out = append(out, wire.EntryInfo{Instance: id, Zone: rep.Zone, Addr: rep.Links})
 		}
 	}
 	sort.Slice(out, func(i, j int) bool { return out[i].Instance < out[j].Instance })
 	return out
 }
 
-// sites gives the lowest and highest revision in force at each site.
+// sites returns the lowest and the highest revision that the instances of each site
+// run. It deletes expired reports.
 func (r *reports) sites(now time.Time) []opapi.Site {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	bySite := make(map[api.Site]*opapi.Site)
-	for id, h := range r.instances {
-		if now.Sub(h.at) > reportLife {
+	for id, rep := range r.instances {
+		if now.Sub(rep.receivedAt) > reportTTL {
 			delete(r.instances, id)
 			continue
 		}
-		count(bySite, h.Site, h.Revision)
-		for _, n := range h.Nodes {
-			count(bySite, n.Site, n.Revision)
+		countInstance(bySite, rep.Site, rep.Revision)
+		for _, n := range rep.Nodes {
+			countInstance(bySite, n.Site, n.Revision)
 		}
 	}
 	out := make([]opapi.Site, 0, len(bySite))
@@ -99,7 +101,7 @@
 	return out
 }
 
-func count(bySite map[api.Site]*opapi.Site, site api.Site, revision api.Revision) {
+func countInstance(bySite map[api.Site]*opapi.Site, site api.Site, revision api.Revision) {
 	s := bySite[site]
 	if s == nil {
 		s = &opapi.Site{Site: site, Lowest: revision}
@@ -121,7 +123,8 @@
 	return out
 }
 
-// statusJSON gives the leader's view. It runs on the driving goroutine.
+// statusJSON returns the JSON encoding of this member's view. It runs on the
+// goroutine of Run.
 func (m *Member) statusJSON(st *consensus.Status) ([]byte, error) {
 	return json.Marshal(m.view(st, time.Now()))
 }
@@ -143,7 +146,8 @@
 	}
 }
 
-// memberList gives the group; lag and activity are known to the leader only.
+// memberList returns the members of the group. Only the leader knows their lag and
+// whether they are active.
 func (m *Member) memberList(st *consensus.Status) []opapi.Member {
 	progress := make(map[consensus.MemberID]consensus.Progress)
 	for _, p := range st.Members {
--- a/node/control/reports_test.go
+++ b/node/control/reports_test.go
@@ -30,14 +30,14 @@
 		targets  int
 	}{{1, 3}, {1, 3}, {2, 3}, {2, 3}, {3, 2}, {4, 0}, {4, 0}} {
 		r := Report{Instance: "e1", Site: "lhr", Revision: step.revision, Targets: targets(step.targets)}
-		whole.put(r, now)
-		sent := difference(told, r)
+		whole.record(r, now)
+		sent := reportDelta(told, r)
 		b, err := Codec.Append(nil, sent)
 		c.Assert(err, qt.IsNil)
 		sizes = append(sizes, len(b))
-		parts.put(*sent, now)
+		parts.record(*sent, now)
 		if i > 0 && (sent.Same || sent.SameTargets) && i < 4 {
-			late.put(*sent, now)
+			late.record(*sent, now)
 			c.Assert(late.sites(now), qt.HasLen, 0)
 		}
 		told = &r
--- a/node/control/retries.go
+++ b/node/control/retries.go
@@ -10,18 +10,19 @@
 	"almondseam.dev/core/state"
 )
 
-// stampRetry puts this member's limits into an ask for a retry. An entry whose settings
-// differ must not change what the group grants.
-func (m *Member) stampRetry(req *Request) {
+// setRetryLimits sets this member's limits in an ask for a retry, so that an entry with
+// different settings cannot change what the group grants.
+func (m *Member) setRetryLimits(req *Request) {
 	command, ask := *req.Command, *req.Command.Retry
 	ask.Limits = ask.LimitsOf(m.opt.Retries)
 	command.Retry = &ask
 	req.Command = &command
 }
 
-// refuseRetry answers an ask for a retry that the leader knows would be refused, so that
-// the log does not grow with refusals while much fails.
-func (m *Member) refuseRetry(c *call) bool {
+// answerRefusedRetry answers an ask for a retry that the leader would refuse, and reports
+// whether it did. Such asks are not proposed, so that the log does not grow with refused
+// asks while many requests fail.
+func (m *Member) answerRefusedRetry(c *call) bool {
 	ask := c.req.Command.Retry
 	if ask == nil || ask.Return || m.role != consensus.RoleLeader {
 		return false
@@ -34,9 +35,9 @@
 	return true
 }
 
-// Retry asks the group for one retry, or returns one. The same ask may be made again;
-// it gets its first answer. An error means that no answer came before ctx ended; a
-// retry may have been granted, and counts until its time is over.
+// Retry asks the group for one retry, or returns a granted one. The same ask may be
+// repeated: it never gets a second grant. After an error the answer is unknown; a retry
+// may have been granted and then counts until its grant expires.
 func (c *Client) Retry(ctx context.Context, ask retrybudget.Ask) (retrybudget.Answer, error) {
 	r, _ := c.call(ctx, Request{Command: &state.Command{Retry: &ask}})
 	if r.Outcome != api.OutcomeCompleted || r.Result == nil || r.Result.Retry == nil {
--- a/node/control/role.go
+++ b/node/control/role.go
@@ -20,17 +20,18 @@
 	"github.com/valyala/fasthttp"
 )
 
-// Settings of a process's control role.
+// Settings configures a process's control role.
 type Settings struct {
-	// ID, Restored and Storage come from the data folder.
+	// ID, Restored and Storage come from the data directory.
 	ID       consensus.MemberID
 	Restored consensus.Restored
 	Storage  Storage
-	// Link takes links of other members and of entries, Operator takes HTTP of
-	// operators; it may be nil.
+	// Link accepts links of other members and of entries. Operator accepts HTTP
+	// requests of operators; it may be nil.
 	Link     net.Listener
 	Operator net.Listener
-	// OperatorAddr is where operators are told that this member listens.
+	// OperatorAddr is the address of this member's operator interface, as operators
+	// are told it.
 	OperatorAddr string
 	Zone         api.Zone
 	Instance     api.InstanceID
@@ -45,18 +46,19 @@
 	Retries retrybudget.Limits
 	// SnapshotEntries is Options.SnapshotEntries.
 	SnapshotEntries uint64
-	// Join makes this member find its group by itself; nil leaves that to an
-	// operator.
+	// Join makes this member join its group, and manage the group's membership while
+	// it is the leader, without an operator; nil leaves both to an operator.
 	Join *Join
-	// Registry is told to whoever subscribes; nil for none.
+	// Registry holds the targets that announce themselves, for clients that subscribe
+	// to them; nil for none.
 	Registry *registry.Registry
-	// Silence is that of the links, zero for the default.
+	// Silence is the silence timeout of the links, zero for the default.
 	Silence time.Duration
 }
 
-// Join is how a member finds its group.
+// Join holds the addresses by which a member finds its group.
 type Join struct {
-	// Seeds are link addresses of members, Self this member's own.
+	// Seeds are link addresses of members, Self is this member's own.
 	Seeds []string
 	Self  string
 }
@@ -71,17 +73,17 @@
 	sessions *Server
 	operator *fiber.App
 	executor *executor
-	// listeners are those of server and operator.
+	// listeners are the listeners of server and operator.
 	listeners []net.Listener
-	once      sync.Once
+	stopOnce  sync.Once
 	err       error
 	ended     chan struct{}
 }
 
-// Codec knows the messages of control links.
+// Codec encodes and decodes the messages of control links.
 var Codec = wire.NewCodec(slices.Concat(Protos(), registry.Protos())...)
 
-// LinkOptions gives the options of a control link for a process in some role.
+// LinkOptions returns the options of a control link for the process self.
 func LinkOptions(key []byte, self link.Peer, observer link.Observer) link.Options {
 	return link.Options{Key: key, Self: self, Codec: Codec, Observer: observer}
 }
@@ -102,12 +104,12 @@
 		Limits:          s.Limits,
 		Retries:         s.Retries,
 		Storage:         s.Storage,
-		Transport:       deferred{r},
+		Transport:       roleTransport{r},
 		Validate:        s.Validate,
 		Pace:            s.Pace,
 		Observer:        s.Observer,
 		SnapshotEntries: s.SnapshotEntries,
-		Mend:            s.Join != nil,
+		ManageMembers:   s.Join != nil,
 	})
 	if err != nil {
 		cancel()
@@ -117,16 +119,16 @@
 	return r, nil
 }
 
-// batchBytes bounds one entry of the log. It is above the largest document that
-// state.DefaultConfigLimits lets through: with the agreement's own default a
-// fleet of 1,700 customers passed that check and was then refused.
+// batchBytes bounds the size of one log entry. It is larger than the largest document
+// that state.DefaultConfigLimits allows: with the default of core/consensus, the
+// configuration of a fleet with 1,700 customers passed that check and was then rejected.
 const batchBytes = 1 << 20
 
-// deferred sends by the role's links.
-type deferred struct{ r *Role }
+// roleTransport implements Transport with the links of a role.
+type roleTransport struct{ role *Role }
 
-func (d deferred) Send(m consensus.Message)       { d.r.links.Send(m) }
-func (d deferred) Members(g consensus.Membership) { d.r.links.Members(g) }
+func (t roleTransport) Send(m consensus.Message)       { t.role.links.Send(m) }
+func (t roleTransport) Members(g consensus.Membership) { t.role.links.Members(g) }
 
 func (r *Role) serve(ctx context.Context, s Settings, opt link.Options) {
 	r.sessions = NewServer(ctx, r.member, r.links)
@@ -142,7 +144,7 @@
 	if s.Operator == nil && s.Join == nil {
 		return
 	}
-	r.executor = &executor{member: r.member, forward: NewClient(ClientOptions{Seeds: s.forwardSeeds(), Not: s.notDialled(), Link: opt})}
+	r.executor = &executor{member: r.member, forward: NewClient(ClientOptions{Seeds: s.forwardSeeds(), AvoidAddr: s.ownAddr(), Link: opt})}
 	r.wg.Go(func() { r.executor.forward.Run(ctx) })
 	if s.Join != nil {
 		r.wg.Go(func() { keepJoined(ctx, r.executor, s.Join.Self) })
@@ -152,9 +154,9 @@
 	}
 }
 
-// forwardSeeds gives where this member looks for the leader. A member that joins
-// by itself may hold nothing, and would only tell itself that it knows of no
-// leader, so it asks others.
+// forwardSeeds returns the addresses at which this member looks for the leader. A
+// member with Join may hold no state, and asking itself would only yield that it knows
+// no leader, so it asks the other members.
 func (s *Settings) forwardSeeds() []string {
 	own := s.Link.Addr().String()
 	if s.Join == nil {
@@ -167,7 +169,7 @@
 	return others
 }
 
-func (s *Settings) notDialled() string {
+func (s *Settings) ownAddr() string {
 	if s.Join == nil {
 		return ""
 	}
@@ -179,49 +181,51 @@
 	r.operator = operator.App()
 	r.listeners = append(r.listeners, s.Operator)
 	info := state.MemberInfo{ID: uint64(s.ID), Operator: s.OperatorAddr, Zone: s.Zone}
-	r.wg.Go(func() { tellSelf(ctx, r.executor, info) })
+	r.wg.Go(func() { registerMember(ctx, r.executor, info) })
 	r.wg.Go(func() {
 		_ = r.operator.Listener(s.Operator, fiber.ListenConfig{DisableStartupMessage: true})
 	})
 }
 
-// Exec carries out a request here, or at the leader when that is elsewhere. It
-// needs Join or Operator in the settings.
-func (r *Role) Exec(ctx context.Context, req Request) *Reply { return r.executor.within(ctx, req) }
+// Exec executes a request at this member, or at the leader if that is another member.
+// It requires Join or Operator in the settings.
+func (r *Role) Exec(ctx context.Context, req Request) *Reply { return r.executor.runContext(ctx, req) }
 
-const tellPause = time.Second
+const registerRetryInterval = time.Second
 
-// tellSelf tells the group where this member's operators connect, until that is
-// recorded. A member that waits to be added tries on meanwhile.
-func tellSelf(ctx context.Context, x *executor, info state.MemberInfo) {
+// registerMember records the address of this member's operator interface in the
+// replicated state. It retries until that succeeds, for example while the member waits
+// to be added to the group.
+func registerMember(ctx context.Context, x *executor, info state.MemberInfo) {
 	for ctx.Err() == nil {
-		r := x.within(ctx, Request{Command: &state.Command{Member: &info}})
+		r := x.runContext(ctx, Request{Command: &state.Command{Member: &info}})
 		if r.Outcome == api.OutcomeCompleted {
 			return
 		}
-		sleep(ctx, tellPause)
+		sleep(ctx, registerRetryInterval)
 	}
 }
 
-// closeListeners closes what the servers' own shutdown may have missed: one that
-// is shut down before its goroutine has taken the listener closes nothing and
-// listens for ever.
+// closeListeners closes listeners that the shutdown of the servers may have missed: a
+// server that is shut down before its goroutine has called Serve does not close the
+// listener, which would then stay open.
 func (r *Role) closeListeners() {
 	for _, ln := range r.listeners {
 		_ = ln.Close()
 	}
 }
 
-// Member gives the role's member.
+// Member returns the role's member.
 func (r *Role) Member() *Member { return r.member }
 
-// Ended is closed when the member has stopped, by Stop or by a failure.
+// Ended returns a channel that is closed when the member has stopped, by Stop or
+// because of a failure.
 func (r *Role) Ended() <-chan struct{} { return r.ended }
 
-// Stop ends the role and waits for all of it. It gives the failure that ended
-// the member before, if there was one.
+// Stop stops the role and waits for all its goroutines. It returns the error that
+// stopped the member before, if there was one.
 func (r *Role) Stop() error {
-	r.once.Do(func() {
+	r.stopOnce.Do(func() {
 		r.cancel()
 		_ = r.server.Shutdown()
 		if r.operator != nil {
--- a/node/control/server.go
+++ b/node/control/server.go
@@ -17,32 +17,35 @@
 
 // Server serves one member to other members and to entries, over links.
 type Server struct {
-	member *Member
-	links  *Links
-	ctx    context.Context
-	active sync.WaitGroup
-	// gate guards stopped, after which no session may begin.
-	gate    sync.Mutex
-	stopped bool
-	// registry is told to subscribers; nil where targets have agents.
+	member         *Member
+	links          *Links
+	ctx            context.Context
+	activeSessions sync.WaitGroup
+	// sessionsMu guards stopped, which is set when no new session may begin.
+	sessionsMu sync.Mutex
+	stopped    bool
+	// registry holds the targets that announce themselves, for links that subscribe to
+	// them; nil in fleets whose targets have agents.
 	registry *registry.Registry
-	// last is the newest update made; most clients need the same one.
-	mu   sync.Mutex
-	last *Update
+	// mu guards lastUpdate, the update that was made last. Most clients need the same
+	// one.
+	mu         sync.Mutex
+	lastUpdate *Update
 }
 
-// NewServer makes a server whose links end with ctx.
+// NewServer returns a server whose links end when ctx is done.
 func NewServer(ctx context.Context, m *Member, links *Links) *Server {
 	return &Server{member: m, links: links, ctx: ctx}
 }
 
-// Serve runs one accepted link until it ends. It is what link.NewAcceptor calls.
+// Serve serves one accepted link until it ends. It is the handler to pass to
+// link.NewAcceptor.
 func (s *Server) Serve(conn *link.Conn) {
-	if !s.enter() {
+	if !s.beginSession() {
 		conn.Close()
 		return
 	}
-	defer s.active.Done()
+	defer s.activeSessions.Done()
 	ctx, cancel := context.WithCancel(s.ctx)
 	defer cancel()
 	var wg conc.WaitGroup
@@ -50,50 +53,50 @@
 	session := &session{server: s, conn: conn, ctx: ctx, wg: &wg}
 	conn.Run(ctx, session.handle)
 	cancel()
-	s.links.Gone(conn)
+	s.links.RemoveIncoming(conn)
 	if s.registry != nil {
 		s.registry.Unsubscribe(conn)
 	}
 }
 
-// subscribe lets a link follow the targets that announce themselves here.
+// subscribe subscribes a link to the targets that announce themselves here.
 func (s *Server) subscribe(conn *link.Conn, m registry.Subscribe) {
 	if s.registry != nil {
 		s.registry.Subscribe(conn, m)
 	}
 }
 
-// enter counts a session in, unless the server has stopped.
+// beginSession counts a new session. It returns false if the server has stopped.
 //
-// The HTTP server does not wait for connections that it has handed over. Counted under the same
-// lock as the stop, a session is either waited for or never begins.
-func (s *Server) enter() bool {
-	s.gate.Lock()
-	defer s.gate.Unlock()
+// The HTTP server does not wait for hijacked connections. Because sessions are counted under
+// the same lock as stopped, Wait either waits for a session or the session never begins.
+func (s *Server) beginSession() bool {
+	s.sessionsMu.Lock()
+	defer s.sessionsMu.Unlock()
 	if s.stopped {
 		return false
 	}
-	s.active.Add(1)
+	s.activeSessions.Add(1)
 	return true
 }
 
-// Wait lets no more sessions begin and returns once all have ended.
+// Wait prevents new sessions and returns once all sessions have ended.
 func (s *Server) Wait() {
-	s.gate.Lock()
+	s.sessionsMu.Lock()
 	s.stopped = true
-	s.gate.Unlock()
-	s.active.Wait()
+	s.sessionsMu.Unlock()
+	s.activeSessions.Wait()
 }
 
 // session is one accepted link.
 type session struct {
-	server *Server
-	conn   *link.Conn
-	ctx    context.Context
-	wg     *conc.WaitGroup
-	watch  sync.Once
-	from   consensus.MemberID
-	// entries is the list last told, used by the reading goroutine alone.
+	server    *Server
+	conn      *link.Conn
+	ctx       context.Context
+	wg        *conc.WaitGroup
+	watchOnce sync.Once
+	peerID    consensus.MemberID
+	// entries is the list sent last, used only by the goroutine that runs conn.
 	entries []wire.EntryInfo
 }
 
@@ -104,7 +107,7 @@
 	case *Request:
 		s.request(m)
 	case *Watch:
-		s.watch.Do(func() { s.wg.Go(func() { s.push(*m) }) })
+		s.watchOnce.Do(func() { s.wg.Go(func() { s.sendUpdates(*m) }) })
 	case *Report:
 		s.report(m)
 	case *registry.Subscribe:
@@ -116,12 +119,13 @@
 	}
 }
 
-// report takes a report and tells the entry of a change among the entries. Only
-// the leader hears all of them; a member that hears some would shorten the list.
+// report records a report, and on the leader sends the list of entries if it has
+// changed. Only the leader receives the reports of all entries; a list from another
+// member would be incomplete.
 func (s *session) report(m *Report) {
 	now := time.Now()
 	member := s.server.member
-	member.reports.put(*m, now)
+	member.reports.record(*m, now)
 	if member.Status().Role != consensus.RoleLeader {
 		return
 	}
@@ -137,20 +141,20 @@
 	if s.conn.Peer().Role != link.RoleControl {
 		return
 	}
-	if from := m.Message.From; from != s.from {
-		s.from = from
-		s.server.links.Came(from, s.conn)
+	if peerID := m.Message.From; peerID != s.peerID {
+		s.peerID = peerID
+		s.server.links.AddIncoming(peerID, s.conn)
 	}
 	s.server.member.Receive(m.Message)
 }
 
-// request carries out a request. Only control members, which have checked an
-// operator's token, may change the configuration, the orders' queue or the group:
-// an entry that was taken over must not be able to rewrite the fleet.
+// request starts a request. Requests that are reserved for operators are accepted only
+// from control members, which have checked the operator's token, so that a
+// compromised entry cannot change the configuration, the orders or the group.
 func (s *session) request(req *Request) {
 	member := s.server.member
-	if s.conn.Peer().Role != link.RoleControl && forOperators(req) {
-		r := member.refused(req, api.ReasonForbidden, "only for operators")
+	if s.conn.Peer().Role != link.RoleControl && operatorsOnly(req) {
+		r := member.rejection(req, api.ReasonForbidden, "only for operators")
 		r.ID = req.ID
 		_ = s.conn.Send(r)
 		return
@@ -158,7 +162,7 @@
 	member.Submit(req, func(r *Reply) { _ = s.conn.Send(r) })
 }
 
-func forOperators(req *Request) bool {
+func operatorsOnly(req *Request) bool {
 	if req.Change != nil {
 		return true
 	}
@@ -166,44 +170,46 @@
 	return c != nil && (c.Config != nil || c.Drain != nil || c.Evacuation != nil || c.Member != nil || c.Order != nil && c.Order.ForOperators())
 }
 
-// push sends the configuration and the leader's address, now and whenever one
-// of them changes. A revision at or below one that was sent is never sent, so
-// what the client sees never goes back, also when this member was just reset to
-// an older snapshot.
-func (s *session) push(w Watch) {
-	sent := w.From
-	base := s.base(w)
-	var told *Leader
-	drained := noDrains
-	var evacuated, limits uint64
+// sendUpdates sends everything that the client watches, at once and whenever it
+// changes: the leader, the drains, the evacuated availability zones, the limits of
+// targets, the ready orders and the configuration. It never sends a revision at or
+// below one that was sent, so the client never gets an older configuration, even if
+// this member has just been reset to an older snapshot.
+func (s *session) sendUpdates(w Watch) {
+	sentRevision := w.From
+	baseConfig := s.baseConfig(w)
+	var sentLeader *Leader
+	// These are the versions that were sent last.
+	drainsIndex := noDrainsSent
+	var evacuated, limitsIndex uint64
 	var ready []api.TargetID
 	for {
-		view, changed := s.server.member.watchView()
-		if told == nil || !told.equal(view.leader) {
+		view, changed := s.server.member.watcherView()
+		if sentLeader == nil || !sentLeader.equal(view.leader) {
 			leader := view.leader
-			told = &leader
-			_ = s.conn.Send(told)
+			sentLeader = &leader
+			_ = s.conn.Send(sentLeader)
 		}
-		if view.drained != drained {
-			drained = view.drained
-			_ = s.conn.Send(&Drains{Index: drained, Targets: view.drains})
+		if view.drainsIndex != drainsIndex {
+			drainsIndex = view.drainsIndex
+			_ = s.conn.Send(&Drains{Index: drainsIndex, Targets: view.drains})
 		}
 		if view.evacuated.Index != evacuated {
 			evacuated = view.evacuated.Index
 			_ = s.conn.Send(&Evacuated{view.evacuated})
 		}
-		if view.limits != limits {
+		if view.limitsIndex != limitsIndex {
 			list := s.server.member.TargetLimits()
-			limits = list.Index
+			limitsIndex = list.Index
 			_ = s.conn.Send(&Limits{list})
 		}
 		if !slices.Equal(ready, view.ready) {
 			ready = view.ready
 			_ = s.conn.Send(&Orders{Ready: ready})
 		}
-		if view.config.Revision > sent {
-			_ = s.conn.Send(s.server.update(base, view.config))
-			base, sent = view.config, view.config.Revision
+		if view.config.Revision > sentRevision {
+			_ = s.conn.Send(s.server.updateBetween(baseConfig, view.config))
+			baseConfig, sentRevision = view.config, view.config.Revision
 		}
 		select {
 		case <-changed:
@@ -215,8 +221,9 @@
 	}
 }
 
-// base gives the client's own revision if this member still has its document.
-func (s *session) base(w Watch) state.Config {
+// baseConfig returns the configuration at the client's revision if this member still
+// has its document, and the zero value otherwise.
+func (s *session) baseConfig(w Watch) state.Config {
 	if w.Whole || w.From == 0 {
 		return state.Config{}
 	}
@@ -224,24 +231,26 @@
 	return c
 }
 
-// noDrains is no log index: the first list is always sent.
-const noDrains = ^uint64(0)
+// noDrainsSent is not a valid log index, so that the first list of drains is always
+// sent.
+const noDrainsSent = ^uint64(0)
 
-// update gives the update between two revisions and keeps the newest one, for
-// a change goes to hundreds of clients that all hold the revision before.
-func (s *Server) update(base, next state.Config) *Update {
+// updateBetween returns the update from one configuration to the next. It caches the
+// last update, because a change goes to hundreds of clients that all have the previous
+// revision.
+func (s *Server) updateBetween(base, next state.Config) *Update {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	known := s.last
+	known := s.lastUpdate
 	if known != nil && known.Revision == next.Revision && known.Base == base.Revision && base.Document != nil {
 		return known
 	}
-	s.last = makeUpdate(base, next)
-	return s.last
+	s.lastUpdate = makeUpdate(base, next)
+	return s.lastUpdate
 }
 
-// makeUpdate makes a patch where the client's document is known, else it sends
-// the whole.
+// makeUpdate returns a patch if the client's document is known, and the whole
+// document otherwise.
 func makeUpdate(base, next state.Config) *Update {
 	if base.Document == nil {
 		return &Update{Revision: next.Revision, Document: next.Document}
@@ -250,33 +259,33 @@
 	return &Update{Revision: next.Revision, Base: base.Revision, Patch: &patch}
 }
 
-type watchView struct {
-	config  state.Config
-	leader  Leader
-	drained uint64
-	drains  []state.Drain
-	ready   []api.TargetID
-	// evacuated are the zones whose targets get no new work.
+type watcherView struct {
+	config      state.Config
+	leader      Leader
+	drainsIndex uint64
+	drains      []state.Drain
+	ready       []api.TargetID
+	// evacuated are the availability zones whose targets get no new work.
 	evacuated state.Evacuated
-	// limits is the log index of the limits that targets name.
-	limits uint64
+	// limitsIndex is the log index of the last change to the limits of targets.
+	limitsIndex uint64
 }
 
-// watchView gives what watchers are told and a channel that is closed at the
+// watcherView returns what watchers are sent, and a channel that is closed at the
 // next change.
-func (m *Member) watchView() (watchView, <-chan struct{}) {
+func (m *Member) watcherView() (watcherView, <-chan struct{}) {
 	m.mu.RLock()
 	defer m.mu.RUnlock()
 	st := m.Status()
-	v := watchView{
-		config:  m.state.Current(),
-		leader:  Leader{Self: st.Role == consensus.RoleLeader, Addr: addressOf(st.Membership, st.Leader), Members: addresses(st.Membership), Groupless: len(st.Membership.Voters) == 0},
-		drained: m.state.DrainIndex(),
-		drains:  m.state.Drains(),
-		ready:   m.state.Orders().Ready(),
+	v := watcherView{
+		config:      m.state.Current(),
+		leader:      Leader{Self: st.Role == consensus.RoleLeader, Addr: addressOf(st.Membership, st.Leader), Members: addresses(st.Membership), Groupless: len(st.Membership.Voters) == 0},
+		drainsIndex: m.state.DrainIndex(),
+		drains:      m.state.Drains(),
+		ready:       m.state.Orders().Ready(),
 
-		evacuated: m.state.Evacuated(),
-		limits:    m.state.LimitsIndex(),
+		evacuated:   m.state.Evacuated(),
+		limitsIndex: m.state.LimitsIndex(),
 	}
 	return v, m.changed
 }
--- a/node/control/transport.go
+++ b/node/control/transport.go
@@ -14,44 +14,45 @@
 const (
 	redialMin = 50 * time.Millisecond
 	redialMax = time.Second
-	// dialLeast and dialMost bound one attempt, see link.Patience.
-	dialLeast = 200 * time.Millisecond
-	dialMost  = 2 * time.Second
+	// minDialTimeout and maxDialTimeout bound the time of one dial, which grows with
+	// each failure in a row; see link.Patience.
+	minDialTimeout = 200 * time.Millisecond
+	maxDialTimeout = 2 * time.Second
 )
 
-// Links is the Transport over links: one outgoing link to each other member. It
-// answers a member whose address it hasn't learnt yet on the link that the
-// member came in by.
+// Links implements Transport with one outgoing link to each other member. While that
+// link is not up, or if the address of a member is not known yet, messages to the
+// member go over the newest incoming link from it.
 type Links struct {
 	self consensus.MemberID
 	opt  link.Options
-	// receive takes the messages that come back on outgoing links.
+	// receive is called with the messages that arrive on outgoing links.
 	receive func(consensus.Message)
 
-	mu    sync.Mutex
-	ctx   context.Context
-	wg    conc.WaitGroup
-	peers map[consensus.MemberID]*peer
-	// incoming is the newest link by which each member came in.
+	mu       sync.Mutex
+	ctx      context.Context
+	wg       conc.WaitGroup
+	outgoing map[consensus.MemberID]*peer
+	// incoming holds the newest incoming link from each member.
 	incoming map[consensus.MemberID]*link.Conn
 }
 
-// peer is one other member. conn is nil while no link is up.
+// peer is another member. conn is nil while no outgoing link to it is up.
 type peer struct {
 	addr   string
 	cancel context.CancelFunc
 	conn   *link.Conn
 }
 
-// NewLinks makes a transport. receive is called from several goroutines and must
-// not block.
+// NewLinks returns a transport whose links end when ctx is done. receive is called
+// from several goroutines and must not block.
 func NewLinks(ctx context.Context, self consensus.MemberID, opt link.Options, receive func(consensus.Message)) *Links {
 	return &Links{
 		self:     self,
 		opt:      opt,
 		receive:  receive,
 		ctx:      ctx,
-		peers:    make(map[consensus.MemberID]*peer),
+		outgoing: make(map[consensus.MemberID]*peer),
 		incoming: make(map[consensus.MemberID]*link.Conn),
 	}
 }
@@ -66,21 +67,21 @@
 func (l *Links) route(to consensus.MemberID) *link.Conn {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if p := l.peers[to]; p != nil && p.conn != nil {
+	if p := l.outgoing[to]; p != nil && p.conn != nil {
 		return p.conn
 	}
 	return l.incoming[to]
 }
 
-// Came notes by which link a member sends.
-func (l *Links) Came(from consensus.MemberID, conn *link.Conn) {
+// AddIncoming records the link on which a member sends messages.
+func (l *Links) AddIncoming(from consensus.MemberID, conn *link.Conn) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.incoming[from] = conn
 }
 
-// Gone forgets a link that has ended.
-func (l *Links) Gone(conn *link.Conn) {
+// RemoveIncoming removes a link that has ended.
+func (l *Links) RemoveIncoming(conn *link.Conn) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	for id, c := range l.incoming {
@@ -90,7 +91,8 @@
 	}
 }
 
-// Members implements Transport: it dials new members and drops removed ones.
+// Members implements Transport: it dials new members and closes the links to removed
+// ones. A member with a changed address is dialled anew.
 func (l *Links) Members(g consensus.Membership) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -100,48 +102,50 @@
 			want[m.ID] = m.Addr
 		}
 	}
-	for id, p := range l.peers {
+	for id, p := range l.outgoing {
 		if want[id] != p.addr {
 			p.cancel()
-			delete(l.peers, id)
+			delete(l.outgoing, id)
 		}
 	}
 	for id, addr := range want {
-		if id != l.self && l.peers[id] == nil && l.ctx.Err() == nil {
-			l.start(id, addr)
+		if id != l.self && l.outgoing[id] == nil && l.ctx.Err() == nil {
+			l.startPeer(id, addr)
 		}
 	}
 }
 
-func (l *Links) start(id consensus.MemberID, addr string) {
+func (l *Links) startPeer(id consensus.MemberID, addr string) {
 	ctx, cancel := context.WithCancel(l.ctx)
 	p := &peer{addr: addr, cancel: cancel}
-	l.peers[id] = p
-	patience := link.NewPatience(dialLeast, dialMost)
-	l.wg.Go(func() { link.Keep(ctx, redialMin, redialMax, func() bool { return l.serve(ctx, p, patience) }) })
+	l.outgoing[id] = p
+	patience := link.NewPatience(minDialTimeout, maxDialTimeout)
+	l.wg.Go(func() { link.Keep(ctx, redialMin, redialMax, func() bool { return l.dialAndRun(ctx, p, patience) }) })
 }
 
-// serve dials the peer once and stays until the link ends.
-func (l *Links) serve(ctx context.Context, p *peer, patience *link.Patience) bool {
+// dialAndRun dials the peer once and runs the link until it ends. It reports whether
+// the dial succeeded.
+func (l *Links) dialAndRun(ctx context.Context, p *peer, patience *link.Patience) bool {
 	conn, err := patience.Dial(ctx, p.addr, l.opt)
 	if err != nil {
 		return false
 	}
-	l.set(p, conn)
+	l.setConn(p, conn)
 	conn.Run(ctx, func(m wire.Message) {
 		if peer, ok := m.(*Peer); ok {
 			l.receive(peer.Message)
 		}
 	})
-	l.set(p, nil)
+	l.setConn(p, nil)
 	return true
 }
 
-func (l *Links) set(p *peer, conn *link.Conn) {
+func (l *Links) setConn(p *peer, conn *link.Conn) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	p.conn = conn
 }
 
-// Wait returns once all links have ended; its context must be done.
+// Wait returns once all outgoing links have ended. The context that was passed to
+// NewLinks must be done.
 func (l *Links) Wait() { l.wg.Wait() }
