--- a/node/control/observe.go
+++ b/node/control/observe.go
@@ -55,16 +55,16 @@
 		snapshots: f.NewCounterVec(counter("snapshots_total", "Snapshots, taken here or received."), []string{"how"}),
 		dropped:   f.NewCounter(counter("inbox_dropped_total", "Messages of peers dropped for want of room.")),
 	}
-	m.Is(self)
+	m.SetMemberID(self)
 	for r := range api.Reasons {
 		m.refusals.WithLabelValues(string(r))
 	}
 	return m
 }
 
-// Is sets the ID of the observed member. A member whose data directory was lost
+// SetMemberID sets the ID of the observed member. A member whose data directory was lost
 // rejoins under a new ID.
-func (m *Metrics) Is(self consensus.MemberID) { m.self.Store(uint64(self)) }
+func (m *Metrics) SetMemberID(self consensus.MemberID) { m.self.Store(uint64(self)) }
 
 // Saved implements Observer.
 func (m *Metrics) Saved(entries int, sync bool, took time.Duration) {
--- a/node/process/routed_control.go
+++ b/node/process/routed_control.go
@@ -139,7 +139,7 @@
 	if err != nil {
 		return err
 	}
-	c.observer.Is(store.ID())
+	c.observer.SetMemberID(store.ID())
 	role, err := control.Start(control.Settings{
 		ID:           store.ID(),
 		Restored:     restored,
