--- a/node/rollout/agent.go
+++ b/node/rollout/agent.go
@@ -13,71 +13,73 @@
 	"almondseam.dev/node/wire"
 )
 
-// beatsMissed is how many beats an entry may miss before an agent that has
-// another link follows that one instead. The link itself may take longer to be
-// found stalled, and a change would wait as long.
-const beatsMissed = 3
+// maxMissedAnnouncements is the number of announcement intervals for which the followed
+// entry may be silent before an agent with another link switches to it. The link layer
+// may need longer to detect a stalled link, and changes would be delayed as long.
+const maxMissedAnnouncements = 3
 
-// maxParts bounds the pieces of one document.
+// maxParts bounds the number of parts of one document.
 const maxParts = fleetconfig.MaxDocumentBytes/partBytes + 1
 
-// inboxSize bounds what waits to be applied. What comes beyond is dropped, and
-// fetched again after the next beat.
+// inboxSize bounds the messages that wait to be applied. Messages beyond it are
+// dropped; the next announcement reveals the gap and the agent fetches what is missing.
 const inboxSize = 1024
 
-// AgentOptions of an Agent. Observer may be nil, Beat zero.
+// AgentOptions are the options of an Agent. AnnounceInterval is the interval at which
+// entries send Latest; zero means DefaultAnnounceInterval. Observer may be nil.
 type AgentOptions struct {
-	Zone     api.Zone
-	Live     *fleetconfig.Live
-	Beat     time.Duration
-	Observer Observer
+	Zone             api.Zone
+	Live             *fleetconfig.Live
+	AnnounceInterval time.Duration
+	Observer         Observer
 }
 
-// Agent puts in force what one of its linked entries has in force.
+// Agent receives the configuration from one of its linked entries and puts it in force.
 type Agent struct {
 	opt   AgentOptions
 	inbox chan inbound
 
-	mu    sync.Mutex
-	app   applier
-	links []Sender
-	from  Sender // the entry that is followed, nil for none
-	heard time.Time
-	parts partial
+	mu           sync.Mutex
+	app          applier
+	links        []Sender
+	followed     Sender // link to the entry that is followed, nil for none
+	lastReceived time.Time
+	parts        partialDocument
 }
 
-// inbound is a message with the link it came on.
+// inbound is a message with the link on which it was received.
 type inbound struct {
 	conn Sender
 	m    wire.Message
 }
 
-// partial gathers the pieces of a whole document.
-type partial struct {
-	revision api.Revision
-	next     int
-	bytes    []byte
+// partialDocument collects the parts of a whole document.
+type partialDocument struct {
+	revision  api.Revision
+	nextIndex int
+	bytes     []byte
 }
 
-// NewAgent makes an agent's part; Run drives it.
+// NewAgent returns an Agent that holds no configuration. Run must be called to process
+// messages.
 func NewAgent(opt AgentOptions) *Agent {
-	if opt.Beat == 0 {
-		opt.Beat = DefaultBeat
+	if opt.AnnounceInterval == 0 {
+		opt.AnnounceInterval = DefaultAnnounceInterval
 	}
 	if opt.Observer == nil {
-		opt.Observer = noObserver{}
+		opt.Observer = nopObserver{}
 	}
 	return &Agent{
 		opt:   opt,
 		inbox: make(chan inbound, inboxSize),
-		app:   applier{node: rollout.NewNode(newAsk(), 0), zone: opt.Zone, live: opt.Live, obs: opt.Observer},
+		app:   applier{node: rollout.NewNode(newQueryID(), 0), zone: opt.Zone, live: opt.Live, obs: opt.Observer},
 	}
 }
 
-// Run applies what has come, repeats what was not answered and leaves a silent
-// entry, until ctx is done.
+// Run applies received messages, repeats unanswered requests and switches away from a
+// silent entry, until ctx is done.
 func (a *Agent) Run(ctx context.Context) {
-	t := time.NewTicker(a.opt.Beat)
+	t := time.NewTicker(a.opt.AnnounceInterval)
 	defer t.Stop()
 	for {
 		select {
@@ -94,25 +96,25 @@
 func (a *Agent) tick(now time.Time) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	if a.from == nil {
+	if a.followed == nil {
 		return
 	}
-	if now.Sub(a.heard) > beatsMissed*a.opt.Beat && len(a.links) > 1 {
+	if now.Sub(a.lastReceived) > maxMissedAnnouncements*a.opt.AnnounceInterval && len(a.links) > 1 {
 		a.opt.Observer.Switched(SwitchedSilence)
-		_ = a.from.Send(&Unfollow{})
-		a.followOther(now)
+		_ = a.followed.Send(&Unfollow{})
+		a.followAnother(now)
 		return
 	}
-	a.send(a.app.node.Tick(now))
+	a.sendRequests(a.app.node.Tick(now))
 }
 
-// Attach takes a link to an entry. The function it gives is called once the
-// link has ended.
+// Attach adds a link to an entry, which the agent follows if it follows none yet. The
+// caller must call the returned function when the link has ended.
 func (a *Agent) Attach(conn Sender) (detach func()) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	a.links = append(a.links, conn)
-	if a.from == nil {
+	if a.followed == nil {
 		a.follow(conn, time.Now())
 	}
 	return func() { a.detach(conn) }
@@ -122,53 +124,53 @@
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	a.links = slices.DeleteFunc(a.links, func(s Sender) bool { return s == conn })
-	if a.from != conn {
+	if a.followed != conn {
 		return
 	}
 	if len(a.links) > 0 {
 		a.opt.Observer.Switched(SwitchedLink)
 	}
-	a.followOther(time.Now())
+	a.followAnother(time.Now())
 }
 
-// followOther follows any other link: by chance, so that the agents of an entry
-// that is gone spread over the rest.
-func (a *Agent) followOther(now time.Time) {
-	others := slices.DeleteFunc(slices.Clone(a.links), func(s Sender) bool { return s == a.from })
+// followAnother follows one of the other links. It chooses at random, so that the agents
+// of a failed entry spread over the remaining entries.
+func (a *Agent) followAnother(now time.Time) {
+	others := slices.DeleteFunc(slices.Clone(a.links), func(s Sender) bool { return s == a.followed })
 	if len(others) == 0 {
-		a.from = nil
+		a.followed = nil
 		return
 	}
 	a.follow(others[rand.IntN(len(others))], now)
 }
 
 func (a *Agent) follow(conn Sender, now time.Time) {
-	a.from = conn
-	a.heard = now
-	a.parts = partial{}
-	a.send(a.app.node.Connect(now))
+	a.followed = conn
+	a.lastReceived = now
+	a.parts = partialDocument{}
+	a.sendRequests(a.app.node.Connect(now))
 	a.report()
 }
 
-// send carries out what the rules say to ask for.
-func (a *Agent) send(r rollout.Ready) {
+// sendRequests sends the fetch and the query of r, if any, to the followed entry.
+func (a *Agent) sendRequests(r rollout.Ready) {
 	if r.Fetch != nil {
-		_ = a.from.Send(&Follow{Have: r.Fetch.Have, Digest: r.Fetch.Digest[:], Whole: r.Fetch.Whole})
+		_ = a.followed.Send(&Follow{Have: r.Fetch.Have, Digest: r.Fetch.Digest[:], Whole: r.Fetch.Whole})
 	}
 	if r.Ask != 0 {
-		_ = a.from.Send(&Ask{Ask: r.Ask})
+		_ = a.followed.Send(&Ask{Ask: r.Ask})
 	}
 }
 
 func (a *Agent) report() {
 	rev, site := a.app.inForce()
-	_ = a.from.Send(&InForce{Site: site, Revision: rev})
+	_ = a.followed.Send(&InForce{Site: site, Revision: rev})
 }
 
-// Handle takes a message from an entry and tells whether it was of the
-// configuration. It does not wait for it to be applied: compiling a large
-// fleet takes tens of milliseconds, and the tokens and acknowledgements of the
-// same link would stand still as long.
+// Handle queues a message from an entry and returns true, or returns false if it is not
+// a configuration message. It does not wait until the message is applied: compiling the
+// configuration of a large fleet takes tens of milliseconds, which would delay the
+// tokens and acknowledgements on the same link.
 func (a *Agent) Handle(conn Sender, m wire.Message) bool {
 	switch m.(type) {
 	case *Delta, *Part, *Latest, *Confirmed:
@@ -183,16 +185,16 @@
 	return true
 }
 
-// apply gives a message to the rules. What other entries than the followed one
-// send is passed over.
+// apply processes a message from the followed entry. It ignores messages from other
+// entries.
 func (a *Agent) apply(in inbound) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	if in.conn != a.from {
+	if in.conn != a.followed {
 		return
 	}
-	a.heard = time.Now()
-	m := a.convert(in.m)
+	a.lastReceived = time.Now()
+	m := a.decode(in.m)
 	if m == nil {
 		return
 	}
@@ -200,16 +202,17 @@
 	if r.Applied != 0 {
 		a.report()
 	}
-	a.send(r)
+	a.sendRequests(r)
 }
 
-// convert gives what a message means to the rules, nil for nothing yet.
-func (a *Agent) convert(m wire.Message) rollout.Message {
+// decode returns the message for the node. It returns nil if the message cannot be
+// decoded or does not complete a document.
+func (a *Agent) decode(m wire.Message) rollout.Message {
 	switch m := m.(type) {
 	case *Delta:
-		return a.delta(m)
+		return a.decodeDelta(m)
 	case *Part:
-		return a.part(m)
+		return a.assemble(m)
 	case *Latest:
 		l := &rollout.Latest{Revision: m.Revision}
 		copy(l.Digest[:], m.Digest)
@@ -221,7 +224,7 @@
 	}
 }
 
-func (a *Agent) delta(m *Delta) rollout.Message {
+func (a *Agent) decodeDelta(m *Delta) rollout.Message {
 	d, err := fleetconfig.DecodeDelta(m.Bytes)
 	if err != nil {
 		a.opt.Observer.Unusable(0, err)
@@ -230,24 +233,25 @@
 	return &rollout.Change{Delta: d}
 }
 
-// part gathers the pieces. A piece out of its order drops what was gathered;
-// the open fetch is asked again in time.
-func (a *Agent) part(m *Part) rollout.Message {
+// assemble adds a part to the document and returns the document once it is complete. An
+// oversized part or one out of order discards the parts collected so far; the fetch then
+// stays unanswered and is repeated.
+func (a *Agent) assemble(m *Part) rollout.Message {
 	p := &a.parts
 	if m.Index == 0 {
-		*p = partial{revision: m.Revision}
+		*p = partialDocument{revision: m.Revision}
 	}
-	if m.Revision != p.revision || m.Index != p.next || m.Count > maxParts || len(m.Bytes) > partBytes {
-		*p = partial{}
+	if m.Revision != p.revision || m.Index != p.nextIndex || m.Count > maxParts || len(m.Bytes) > partBytes {
+		*p = partialDocument{}
 		return nil
 	}
-	p.next++
+	p.nextIndex++
 	p.bytes = append(p.bytes, m.Bytes...)
-	if p.next < m.Count {
+	if p.nextIndex < m.Count {
 		return nil
 	}
 	doc, err := fleetconfig.ReadDocument(p.bytes)
-	*p = partial{}
+	*p = partialDocument{}
 	if err != nil {
 		a.opt.Observer.Unusable(m.Revision, err)
 		return nil
@@ -255,7 +259,7 @@
 	return &rollout.Whole{Document: doc}
 }
 
-// InForce gives the revision in force and the site, zero before the first.
+// InForce returns the revision in force and the site, zero values before the first.
 func (a *Agent) InForce() (api.Revision, api.Site) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
--- a/node/rollout/entry.go
+++ b/node/rollout/entry.go
@@ -11,14 +11,14 @@
 	"almondseam.dev/core/rollout"
 )
 
-// Source is an entry's road to a majority of the control group.
+// Source queries a majority of the control group.
 type Source interface {
-	// HighestRevision gives the highest revision accepted, read from a majority
+	// HighestRevision returns the highest accepted revision, read from a majority
 	// after the call began. It blocks until there is an answer or ctx is done.
 	HighestRevision(ctx context.Context) (api.Revision, error)
 }
 
-// EntryOptions of an Entry. Observer may be nil.
+// EntryOptions are the options of an Entry. Observer may be nil.
 type EntryOptions struct {
 	Zone     api.Zone
 	Live     *fleetconfig.Live
@@ -27,40 +27,44 @@
 	Observer Observer
 }
 
-// Entry puts what the control group sends in force, and then passes it on.
+// Entry puts the configurations from the control group in force and then forwards them
+// through its Hub.
 type Entry struct {
-	opt EntryOptions
-	mu  sync.Mutex
-	app applier
-	ask uint64
+	opt     EntryOptions
+	mu      sync.Mutex
+	app     applier
+	queryID uint64
 }
 
-// NewEntry makes an entry's part; Run drives it.
+// NewEntry returns an Entry that holds no configuration. Nothing is put in force before
+// Run has queried a majority.
 func NewEntry(opt EntryOptions) *Entry {
 	if opt.Observer == nil {
-		opt.Observer = noObserver{}
+		opt.Observer = nopObserver{}
 	}
 	e := &Entry{opt: opt}
-	e.app = applier{node: rollout.NewNode(newAsk(), 0), zone: opt.Zone, live: opt.Live, obs: opt.Observer}
-	e.ask = e.app.node.Connect(time.Now()).Ask
+	e.app = applier{node: rollout.NewNode(newQueryID(), 0), zone: opt.Zone, live: opt.Live, obs: opt.Observer}
+	e.queryID = e.app.node.Connect(time.Now()).Ask
 	return e
 }
 
-// newAsk draws the number of a life's question; zero means none.
-func newAsk() uint64 { return rand.Uint64() | 1 }
+// newQueryID returns a random number for the query of one process lifetime. It is never
+// zero, because zero means no query.
+func newQueryID() uint64 { return rand.Uint64() | 1 }
 
-// Deliver takes a revision with its document. It is what the client of the
-// control group calls with each newer revision.
+// Deliver accepts an encoded document and its revision. The client of the control group
+// calls it with each newer revision.
 func (e *Entry) Deliver(rev api.Revision, document []byte) {
 	doc, err := fleetconfig.ReadDocument(document)
 	if err != nil {
 		e.opt.Observer.Unusable(rev, err)
 		return
 	}
-	e.take(&rollout.Whole{Document: doc.At(rev)})
+	e.handle(&rollout.Whole{Document: doc.At(rev)})
 }
 
-func (e *Entry) take(m rollout.Message) {
+// handle passes a message to the node and forwards a document that was put in force.
+func (e *Entry) handle(m rollout.Message) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	if r := e.app.step(m); r.Publish != nil {
@@ -68,27 +72,28 @@
 	}
 }
 
-// askPause is the wait after a question that got no answer.
-const askPause = 200 * time.Millisecond
+// queryRetryDelay is the delay after a query that failed.
+const queryRetryDelay = 200 * time.Millisecond
 
-// Run asks a majority which revision may be served, until it is told. Until
-// then nothing is in force here after a start: what the control member at hand
-// holds may be older than what this process served before.
+// Run queries a majority for the lowest revision that may be served, until it gets an
+// answer or ctx is done. Before that, nothing is put in force: the control member that
+// this process reaches may hold an older revision than the process served before its
+// restart.
 func (e *Entry) Run(ctx context.Context) {
 	for ctx.Err() == nil {
 		rev, err := e.opt.Source.HighestRevision(ctx)
 		if err == nil {
-			e.take(&rollout.Confirmed{Ask: e.ask, Revision: rev})
+			e.handle(&rollout.Confirmed{Ask: e.queryID, Revision: rev})
 			return
 		}
 		select {
 		case <-ctx.Done():
-		case <-time.After(askPause):
+		case <-time.After(queryRetryDelay):
 		}
 	}
 }
 
-// InForce gives the revision in force and the site, zero before the first.
+// InForce returns the revision in force and the site, zero values before the first.
 func (e *Entry) InForce() (api.Revision, api.Site) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
--- a/node/rollout/hub.go
+++ b/node/rollout/hub.go
@@ -14,89 +14,92 @@
 	"github.com/sourcegraph/conc"
 )
 
-// Times of a Hub.
+// The default interval and the timeout of a Hub.
 const (
-	// DefaultBeat is the interval of Latest.
-	DefaultBeat = time.Second
-	// askWithin bounds one read from a majority; agents ask again.
-	askWithin = 5 * time.Second
+	// DefaultAnnounceInterval is the interval at which a Hub sends Latest.
+	DefaultAnnounceInterval = time.Second
+	// queryTimeout bounds one read from a majority. Agents repeat unanswered queries.
+	queryTimeout = 5 * time.Second
 )
 
-// partBytes is the size of the pieces of a whole document: one piece holds the
-// stream frames behind it up for a short time only.
+// partBytes is the size of the parts of a whole document. It is small, so that a part
+// delays the stream frames behind it on the link only briefly.
 const partBytes = 64 << 10
 
-// HubOptions of a Hub. Observer may be nil, Beat zero.
+// HubOptions are the options of a Hub. An AnnounceInterval of zero means
+// DefaultAnnounceInterval. Observer may be nil.
 type HubOptions struct {
-	Source   Source
-	Beat     time.Duration
-	Observer Observer
+	Source           Source
+	AnnounceInterval time.Duration
+	Observer         Observer
 }
 
-// Hub passes on to the agents what is in force at their entry.
+// Hub forwards the configurations that are in force at an entry to the agents that
+// follow it.
 type Hub struct {
 	opt  HubOptions
 	wake chan struct{}
 
 	mu       sync.Mutex
 	log      *rollout.Log
-	whole    []byte // encoded log.Current(), nil until it is asked for
+	encoded  []byte // encoded log.Current(), nil until an agent fetches it
 	sessions map[*Session]struct{}
-	asks     map[*Session]uint64 // the open question of each
+	queries  map[*Session]uint64 // queries that wait for the next read
 }
 
-// NewHub makes a hub; Run drives it.
+// NewHub returns a Hub without a document. Run must be called to send announcements and
+// answer queries.
 func NewHub(opt HubOptions) *Hub {
-	if opt.Beat == 0 {
-		opt.Beat = DefaultBeat
+	if opt.AnnounceInterval == 0 {
+		opt.AnnounceInterval = DefaultAnnounceInterval
 	}
 	if opt.Observer == nil {
-		opt.Observer = noObserver{}
+		opt.Observer = nopObserver{}
 	}
 	return &Hub{
 		opt:      opt,
 		wake:     make(chan struct{}, 1),
 		log:      rollout.NewLog(0),
 		sessions: map[*Session]struct{}{},
-		asks:     map[*Session]uint64{},
+		queries:  map[*Session]uint64{},
 	}
 }
 
-// Run sends the beats and puts agents' questions to a majority, until ctx is
-// done. The two don't wait for each other: without a majority a question stays
-// open for long, and an entry that missed its beats would lose its agents.
+// Run sends periodic announcements and forwards the agents' queries to a majority, until
+// ctx is done. The two run concurrently, because without a majority a query blocks for
+// long, and agents would leave an entry that does not send its announcements.
 func (h *Hub) Run(ctx context.Context) {
 	var wg conc.WaitGroup
-	wg.Go(func() { h.beatLoop(ctx) })
-	wg.Go(func() { h.askLoop(ctx) })
+	wg.Go(func() { h.announceLoop(ctx) })
+	wg.Go(func() { h.queryLoop(ctx) })
 	wg.Wait()
 }
 
-func (h *Hub) beatLoop(ctx context.Context) {
-	t := time.NewTicker(h.opt.Beat)
+func (h *Hub) announceLoop(ctx context.Context) {
+	t := time.NewTicker(h.opt.AnnounceInterval)
 	defer t.Stop()
 	for {
 		select {
 		case <-ctx.Done():
 			return
 		case <-t.C:
-			h.beat()
+			h.announce()
 		}
 	}
 }
 
-func (h *Hub) askLoop(ctx context.Context) {
+func (h *Hub) queryLoop(ctx context.Context) {
 	for {
 		select {
 		case <-ctx.Done():
 			return
 		case <-h.wake:
-			h.answerAsks(ctx)
+			h.answerQueries(ctx)
 		}
 	}
 }
 
-func (h *Hub) beat() {
+func (h *Hub) announce() {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	m := latest(h.log)
@@ -108,34 +111,36 @@
 }
 
 func latest(l *rollout.Log) *Latest {
-	at := l.Latest()
-	return &Latest{Revision: at.Revision, Digest: at.Digest[:]}
+	newest := l.Latest()
+	return &Latest{Revision: newest.Revision, Digest: newest.Digest[:]}
 }
 
-// answerAsks answers all questions at hand by one read. The read begins after
-// the questions were taken: one that had begun before could miss a revision
-// that an asking agent had served before it restarted.
-func (h *Hub) answerAsks(ctx context.Context) {
+// answerQueries answers all pending queries with one read from a majority. The read begins
+// after the queries were received: a read that began earlier could miss a revision that
+// a querying agent had served before it restarted.
+func (h *Hub) answerQueries(ctx context.Context) {
 	h.mu.Lock()
-	asks := h.asks
-	h.asks = map[*Session]uint64{}
+	queries := h.queries
+	h.queries = map[*Session]uint64{}
 	h.mu.Unlock()
-	if len(asks) == 0 {
+	if len(queries) == 0 {
 		return
 	}
-	ctx, cancel := context.WithTimeout(ctx, askWithin)
+	ctx, cancel := context.WithTimeout(ctx, queryTimeout)
 	defer cancel()
 	rev, err := h.opt.Source.HighestRevision(ctx)
 	if err != nil {
 		return
 	}
-	for s, ask := range asks {
-		_ = s.conn.Send(&Confirmed{Ask: ask, Revision: rev})
+	for s, id := range queries {
+		_ = s.conn.Send(&Confirmed{Ask: id, Revision: rev})
 	}
 }
 
-// Publish passes a document on to all who follow. It is called with rising
-// revisions, once the document is in force here.
+// Publish sends a document to all following agents, as a delta where possible. The
+// caller passes documents in ascending order of revision, each once it is in force at
+// this entry. The first document has no delta, so it is only announced and the agents
+// fetch it.
 func (h *Hub) Publish(doc *fleetconfig.Document) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -144,14 +149,14 @@
 	if d == nil && !first {
 		return
 	}
-	h.whole = nil
+	h.encoded = nil
 	var m wire.Message = latest(h.log)
 	if d != nil {
 		m = h.encodeDelta(d)
 	}
 	for s := range h.sessions {
 		if s.following {
-			h.push(s, m)
+			h.sendChange(s, m)
 		}
 	}
 }
@@ -165,15 +170,15 @@
 	return &Delta{Bytes: b}
 }
 
-func (h *Hub) push(s *Session, m wire.Message) {
+func (h *Hub) sendChange(s *Session, m wire.Message) {
 	if _, ok := m.(*Delta); ok {
 		h.opt.Observer.Sent(SentDelta)
 	}
 	_ = s.conn.Send(m)
 }
 
-// Nodes lists what the agents that follow this entry have in force, for the
-// entry's report to the control group.
+// Nodes returns the revisions that the agents following this entry have in force, for
+// the entry's report to the control group.
 func (h *Hub) Nodes() []rollout.Report {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -187,17 +192,17 @@
 	return out
 }
 
-// Session is one agent's link at the hub.
+// Session is the hub's state of the link to one agent.
 type Session struct {
 	hub  *Hub
 	conn Sender
 
-	// Guarded by the hub's lock.
+	// The fields below are guarded by the hub's lock.
 	following bool
 	inForce   rollout.Report
 }
 
-// Attach takes a link to an agent.
+// Attach adds the link to the agent peer and returns its session.
 func (h *Hub) Attach(peer api.InstanceID, conn Sender) *Session {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -206,16 +211,17 @@
 	return s
 }
 
-// Close tells that the link has ended.
+// Close removes the session from the hub. The caller calls it when the link has ended.
 func (s *Session) Close() {
 	s.hub.mu.Lock()
 	defer s.hub.mu.Unlock()
 	delete(s.hub.sessions, s)
-	delete(s.hub.asks, s)
+	delete(s.hub.queries, s)
 	s.hub.countFollowers()
 }
 
-// Handle takes a message from the agent and tells whether it was for the hub.
+// Handle processes a message from the agent. It returns false if the message is not for
+// the hub.
 func (s *Session) Handle(m wire.Message) bool {
 	s.hub.mu.Lock()
 	defer s.hub.mu.Unlock()
@@ -226,7 +232,7 @@
 		s.following = false
 		s.hub.countFollowers()
 	case *Ask:
-		s.question(m)
+		s.enqueueQuery(m)
 	case *InForce:
 		s.inForce.Site = m.Site
 		s.inForce.Revision = m.Revision
@@ -249,7 +255,7 @@
 		s.sendWhole()
 	case len(deltas) > 0:
 		for _, d := range deltas {
-			s.hub.push(s, s.hub.encodeDelta(d))
+			s.hub.sendChange(s, s.hub.encodeDelta(d))
 		}
 	default:
 		_ = s.conn.Send(latest(s.hub.log))
@@ -259,24 +265,24 @@
 func (s *Session) sendWhole() {
 	h := s.hub
 	doc := h.log.Current()
-	if h.whole == nil {
+	if h.encoded == nil {
 		b, err := fleetconfig.EncodeDocument(doc)
 		if err != nil {
 			h.opt.Observer.Unusable(doc.Revision, err)
 			return
 		}
-		h.whole = b
+		h.encoded = b
 	}
 	h.opt.Observer.Sent(SentWhole)
-	count := (len(h.whole) + partBytes - 1) / partBytes
+	count := (len(h.encoded) + partBytes - 1) / partBytes
 	for i := range count {
-		piece := h.whole[i*partBytes : min((i+1)*partBytes, len(h.whole))]
+		piece := h.encoded[i*partBytes : min((i+1)*partBytes, len(h.encoded))]
 		_ = s.conn.Send(&Part{Revision: doc.Revision, Index: i, Count: count, Bytes: piece})
 	}
 }
 
-func (s *Session) question(m *Ask) {
-	s.hub.asks[s] = m.Ask
+func (s *Session) enqueueQuery(m *Ask) {
+	s.hub.queries[s] = m.Ask
 	select {
 	case s.hub.wake <- struct{}{}:
 	default:
--- a/node/rollout/messages.go
+++ b/node/rollout/messages.go
@@ -5,8 +5,8 @@
 	"almondseam.dev/node/wire"
 )
 
-// The kinds of messages by which a configuration goes from an entry to the
-// agents that follow it. They travel on the same links as the request path.
+// The kinds of the messages between an entry and the agents that follow it. They
+// use the same links as the request path.
 const (
 	kindFollow wire.Kind = iota + 96
 	kindUnfollow
@@ -18,15 +18,15 @@
 	kindInForce
 )
 
-// Follow asks for what is missing above Have and for all that comes after.
-// Whole asks for the whole document whatever is held.
+// Follow requests the changes above revision Have and subscribes the agent to all
+// later ones. If Whole is set, it requests the whole document instead of deltas.
 type Follow struct {
 	Have   api.Revision `cbor:"1,keyasint,omitempty"`
 	Digest []byte       `cbor:"2,keyasint,omitempty"`
 	Whole  bool         `cbor:"3,keyasint,omitempty"`
 }
 
-// Unfollow ends what Follow began.
+// Unfollow ends the subscription that Follow started.
 type Unfollow struct{}
 
 // Delta carries an encoded fleetconfig.Delta.
@@ -34,8 +34,8 @@
 	Bytes []byte `cbor:"1,keyasint"`
 }
 
-// Part is piece Index of Count of an encoded fleetconfig.Document. The pieces
-// come in order.
+// Part is part Index of Count of an encoded fleetconfig.Document. The parts are sent
+// in order.
 type Part struct {
 	Revision api.Revision `cbor:"1,keyasint"`
 	Index    int          `cbor:"2,keyasint,omitempty"`
@@ -43,24 +43,25 @@
 	Bytes    []byte       `cbor:"4,keyasint"`
 }
 
-// Latest tells what the entry holds. It is repeated.
+// Latest announces the newest revision that the entry holds. It is sent periodically.
 type Latest struct {
 	Revision api.Revision `cbor:"1,keyasint,omitempty"`
 	Digest   []byte       `cbor:"2,keyasint,omitempty"`
 }
 
-// Ask is an agent's question to a majority, put through its entry.
+// Ask is an agent's query to a majority of the control group for the highest accepted
+// revision. The entry forwards it. The field Ask is the number of the query.
 type Ask struct {
 	Ask uint64 `cbor:"1,keyasint"`
 }
 
-// Confirmed is the majority's answer to Ask.
+// Confirmed is the majority's answer to the query numbered Ask.
 type Confirmed struct {
 	Ask      uint64       `cbor:"1,keyasint"`
 	Revision api.Revision `cbor:"2,keyasint,omitempty"`
 }
 
-// InForce tells what an agent has in force.
+// InForce reports the revision that an agent has in force.
 type InForce struct {
 	Site     api.Site     `cbor:"1,keyasint,omitempty"`
 	Revision api.Revision `cbor:"2,keyasint"`
@@ -90,7 +91,8 @@
 // Kind implements wire.Message.
 func (*InForce) Kind() wire.Kind { return kindInForce }
 
-// Protos lists the messages, for the codec of links between entries and agents.
+// Protos returns the messages of this package, for the codec of links between entries
+// and agents.
 func Protos() []wire.Proto {
 	return []wire.Proto{
 		wire.ProtoOf[Follow](),
--- a/node/rollout/metrics.go
+++ b/node/rollout/metrics.go
@@ -11,7 +11,7 @@
 
 const namespace = "almondseam"
 
-// Metrics is an Observer that counts and logs.
+// Metrics is an Observer that updates metrics and writes log events.
 type Metrics struct {
 	log       *zerolog.Logger
 	stepped   *prometheus.CounterVec
@@ -22,8 +22,8 @@
 	unusable  prometheus.Counter
 }
 
-// NewMetrics registers the metrics of one process; every label is there from
-// the start with 0.
+// NewMetrics registers the metrics of one process. Every label value is exported from
+// the start, with the value 0.
 func NewMetrics(reg prometheus.Registerer, log *zerolog.Logger) *Metrics {
 	f := promauto.With(reg)
 	m := &Metrics{
@@ -35,7 +35,7 @@
 		followers: f.NewGauge(gauge("config_followers", "Agents that follow this entry.")),
 		unusable:  f.NewCounter(counter("config_unusable_total", "Configurations that could not be read or compiled.")),
 	}
-	m.zero()
+	m.initLabels()
 	return m
 }
 
@@ -47,7 +47,7 @@
 	return prometheus.GaugeOpts{Namespace: namespace, Name: name, Help: help}
 }
 
-func (m *Metrics) zero() {
+func (m *Metrics) initLabels() {
 	for _, e := range []rollout.Event{
 		rollout.EventApplied, rollout.EventStale, rollout.EventGap, rollout.EventDigest,
 		rollout.EventConflict, rollout.EventConfirmed, rollout.EventIgnored, EventDropped,
--- a/node/rollout/rollout.go
+++ b/node/rollout/rollout.go
@@ -1,9 +1,10 @@
-// Package rollout carries accepted configurations to every process and puts
+// Package rollout distributes accepted configurations to every process and puts
 // them in force by the rules of core/rollout.
 //
-// An Entry takes them from the control group and passes them on through its
-// Hub; an Agent follows one of the entries that it is linked to. The control
-// group thus speaks to entries alone. All types are safe for concurrent use.
+// An Entry receives configurations from the control group and forwards them
+// through its Hub to the agents that follow it. An Agent follows one of the
+// entries that it is linked to, so the control group only has to send to entries.
+// All types are safe for concurrent use.
 package rollout
 
 import (
@@ -21,48 +22,54 @@
 	Send(m wire.Message) error
 }
 
-// Observer hears what becomes of configurations. Its methods are called with
-// locks held: they must not block, nor call back.
+// Observer is notified of how configurations are handled. Its methods may be
+// called with locks held, so they must not block or call back into this package.
 type Observer interface {
-	// Stepped tells what was made of a message.
+	// Stepped reports how a message was handled.
 	Stepped(e rollout.Event)
-	// InForce tells that a revision is in force in this process.
+	// InForce reports that a revision has been put in force in this process.
 	InForce(rev api.Revision, site api.Site)
-	// Unusable tells of a configuration that could not be read or compiled.
+	// Unusable reports a configuration that could not be encoded, decoded or
+	// compiled. The revision is zero if it is unknown.
 	Unusable(rev api.Revision, err error)
-	// Sent counts what was sent on: "delta" or "whole".
+	// Sent reports that an entry sent a delta (SentDelta) or a whole document
+	// (SentWhole) to one agent.
 	Sent(what string)
-	// Followers tells how many agents follow this entry.
+	// Followers reports the number of agents that follow this entry.
 	Followers(n int)
-	// Switched tells that an agent took another entry to follow, and why.
+	// Switched reports that an agent switches to another entry, and the reason:
+	// SwitchedLink or SwitchedSilence.
 	Switched(why string)
 }
 
-// EventDropped: a message found the agent's inbox full.
+// EventDropped: a message was dropped because the agent's inbox was full.
 const EventDropped rollout.Event = "dropped"
 
-// What Observer.Sent counts.
+// The forms of a configuration that Observer.Sent reports.
 const (
 	SentDelta = "delta"
 	SentWhole = "whole"
 )
 
-// Why an agent takes another entry to follow.
+// The reasons for which an agent switches to another entry.
 const (
-	SwitchedLink    = "link"
+	// SwitchedLink: the link to the followed entry ended.
+	SwitchedLink = "link"
+	// SwitchedSilence: the followed entry sent nothing for several intervals.
 	SwitchedSilence = "silence"
 )
 
-type noObserver struct{}
+type nopObserver struct{}
 
-func (noObserver) Stepped(rollout.Event)          {}
-func (noObserver) InForce(api.Revision, api.Site) {}
-func (noObserver) Unusable(api.Revision, error)   {}
-func (noObserver) Sent(string)                    {}
-func (noObserver) Followers(int)                  {}
-func (noObserver) Switched(string)                {}
+func (nopObserver) Stepped(rollout.Event)          {}
+func (nopObserver) InForce(api.Revision, api.Site) {}
+func (nopObserver) Unusable(api.Revision, error)   {}
+func (nopObserver) Sent(string)                    {}
+func (nopObserver) Followers(int)                  {}
+func (nopObserver) Switched(string)                {}
 
-// applier puts documents in force in this process. Its owner's lock guards it.
+// applier puts documents in force in this process. The lock of the Entry or Agent
+// that contains it guards it.
 type applier struct {
 	node *rollout.Node
 	zone api.Zone
@@ -70,7 +77,8 @@
 	obs  Observer
 }
 
-// step gives a message to the rules and does what they say of this process.
+// step passes a message to the node and puts the document in force that the node
+// releases, if any. The result tells the caller what remains to be sent.
 func (a *applier) step(m rollout.Message) rollout.Ready {
 	r := a.node.Step(time.Now(), m)
 	a.obs.Stepped(r.Event)
@@ -81,10 +89,10 @@
 	return r
 }
 
-// publish compiles a document and puts it in force. A document that this
-// process cannot compile, as one of a newer version may be, leaves the last one
-// in force: serving nothing would cut callers off for a change that may not
-// concern them. The process then shows as lagging in its site's revision.
+// publish compiles a document and puts it in force. It returns false if the document
+// cannot be compiled, for example because it was written for a newer version. The
+// previous document then stays in force, because serving nothing would cut off callers
+// whom the change may not concern, and the process is reported at the old revision.
 func (a *applier) publish(doc *fleetconfig.Document) bool {
 	site, _ := doc.SiteOf(a.zone)
 	snap, err := doc.Snapshot(site)
@@ -98,7 +106,7 @@
 	return true
 }
 
-// inForce gives what this process reports.
+// inForce returns the revision and the site in force, zero values before the first.
 func (a *applier) inForce() (api.Revision, api.Site) {
 	snap := a.live.Load()
 	if snap == nil {
--- a/node/rollout/rollout_test.go
+++ b/node/rollout/rollout_test.go
@@ -17,7 +17,8 @@
 	"almondseam.dev/node/wire"
 )
 
-// document gives the encoded document that the tests accept as revision rev.
+// document returns an encoded document for revision rev. Its max_connections is rev, so
+// that each revision has different content.
 func document(c *qt.C, rev int) []byte {
 	text := fmt.Sprintf("name: demo\nsites: [{id: lhr, region: r, zones: [lhr-a]}]\nlimits: {max_connections: %d}\n", rev)
 	d, err := fleetconfig.NewDocument(fleetconfig.File{Name: "base", Data: []byte(text)}, nil)
@@ -27,50 +28,50 @@
 	return b
 }
 
-// majority stands for the control group: it answers with the highest revision,
-// or not at all.
-type majority struct {
-	mu      sync.Mutex
-	highest api.Revision
-	lost    bool
-	reads   int
-	slow    time.Duration // how long a read takes
+// fakeSource is a Source that returns a fixed highest revision, or an error while the
+// majority is unavailable.
+type fakeSource struct {
+	mu          sync.Mutex
+	highest     api.Revision
+	unavailable bool
+	reads       int
+	readDelay   time.Duration // duration of a read
 }
 
 var errNoMajority = errors.New("no majority")
 
-func (m *majority) HighestRevision(ctx context.Context) (api.Revision, error) {
+func (m *fakeSource) HighestRevision(ctx context.Context) (api.Revision, error) {
 	m.mu.Lock()
 	m.reads++
-	slow := m.slow
+	readDelay := m.readDelay
 	m.mu.Unlock()
-	time.Sleep(slow)
+	time.Sleep(readDelay)
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	if m.lost {
+	if m.unavailable {
 		return 0, errNoMajority
 	}
 	return m.highest, nil
 }
 
-func (m *majority) set(highest int, lost bool) {
+func (m *fakeSource) set(highest int, unavailable bool) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.highest = api.Revision(highest)
-	m.lost = lost
+	m.unavailable = unavailable
 }
 
-// end is one end of a link in memory. What is sent goes through the codec, and
-// nowhere while the link is stalled.
-type end struct {
-	codec *wire.Codec
-	to    func(wire.Message)
+// linkEnd is one end of an in-memory link. Messages are encoded and decoded by the codec.
+// While the link is stalled they are dropped without an error.
+type linkEnd struct {
+	codec   *wire.Codec
+	deliver func(wire.Message)
 
 	mu      sync.Mutex
 	stalled bool
 }
 
-func (e *end) Send(m wire.Message) error {
+func (e *linkEnd) Send(m wire.Message) error {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	if e.stalled {
@@ -80,32 +81,32 @@
 	if err != nil {
 		return err
 	}
-	got, _, err := e.codec.Decode(b)
+	decoded, _, err := e.codec.Decode(b)
 	if err != nil {
 		return err
 	}
-	e.to(got)
+	e.deliver(decoded)
 	return nil
 }
 
-func (e *end) stall() {
+func (e *linkEnd) stall() {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.stalled = true
 }
 
-// fleet is a control group in memory with entries and agents behind it.
+// fleet consists of a fake control group and the entries and agents that use it.
 type fleet struct {
 	c      *qt.C
 	ctx    context.Context
-	source *majority
+	source *fakeSource
 	codec  *wire.Codec
 	wg     sync.WaitGroup
 }
 
 func newFleet(c *qt.C) (*fleet, func()) {
 	ctx, cancel := context.WithCancel(context.Background())
-	f := &fleet{c: c, ctx: ctx, source: &majority{}, codec: wire.NewCodec(Protos()...)}
+	f := &fleet{c: c, ctx: ctx, source: &fakeSource{}, codec: wire.NewCodec(Protos()...)}
 	return f, func() { cancel(); f.wg.Wait() }
 }
 
@@ -123,18 +124,19 @@
 	return a
 }
 
-// link joins an agent to a hub; cut ends the link.
-func (f *fleet) link(a *Agent, name api.InstanceID, h *Hub) (down *end, cut func()) {
-	down = &end{codec: f.codec}
-	up := &end{codec: f.codec}
-	down.to = func(m wire.Message) { f.c.Check(a.Handle(up, m), qt.IsTrue) }
+// link connects an agent to a hub. It returns the end on which the hub sends; cut ends
+// the link.
+func (f *fleet) link(a *Agent, name api.InstanceID, h *Hub) (down *linkEnd, cut func()) {
+	down = &linkEnd{codec: f.codec}
+	up := &linkEnd{codec: f.codec}
+	down.deliver = func(m wire.Message) { f.c.Check(a.Handle(up, m), qt.IsTrue) }
 	s := h.Attach(name, down)
-	up.to = func(m wire.Message) { f.c.Check(s.Handle(m), qt.IsTrue) }
+	up.deliver = func(m wire.Message) { f.c.Check(s.Handle(m), qt.IsTrue) }
 	detach := a.Attach(up)
 	return down, func() { s.Close(); detach() }
 }
 
-// settle lets two seconds pass, which is time enough for one repetition.
+// settle lets two seconds pass, long enough for one repetition of an unanswered request.
 func settle() { time.Sleep(2*time.Second + time.Millisecond); synctest.Wait() }
 
 func revision(inForce func() (api.Revision, api.Site)) int {
@@ -142,7 +144,7 @@
 	return int(rev)
 }
 
-func bubble(t *testing.T, run func(c *qt.C, f *fleet)) {
+func withFleet(t *testing.T, run func(c *qt.C, f *fleet)) {
 	synctest.Test(t, func(t *testing.T) {
 		c := qt.New(t)
 		f, stop := newFleet(c)
@@ -151,10 +153,10 @@
 	})
 }
 
-// A revision is accepted: the entry puts it in force and its agent after it,
-// the first whole and the next as a delta, and the entry can tell of both.
+// Accepted revisions are put in force at the entry and at its agent, the first as a
+// whole document and the later ones as deltas. The hub lists the agent's revision.
 func TestAcceptedRevisionReachesTheAgent(t *testing.T) {
-	bubble(t, func(c *qt.C, f *fleet) {
+	withFleet(t, func(c *qt.C, f *fleet) {
 		e, hub := f.entry()
 		a := f.agent()
 		f.link(a, "g1", hub)
@@ -171,11 +173,12 @@
 	})
 }
 
-// An entry restarts while the control group has no majority. The one member
-// that it reaches still holds revision 1, though 2 was in force before the
-// restart. Nothing is in force until the majority is back and tells of 2.
+// An entry restarts while the control group has no majority. The only member that it
+// reaches still holds revision 1, although revision 2 was in force before the restart.
+// Nothing may be put in force until the majority is back and has reported revision 2,
+// and then only revision 2.
 func TestRestartedEntryWaitsForTheMajority(t *testing.T) {
-	bubble(t, func(c *qt.C, f *fleet) {
+	withFleet(t, func(c *qt.C, f *fleet) {
 		f.source.set(2, true)
 		e, hub := f.entry()
 		a := f.agent()
@@ -193,10 +196,10 @@
 	})
 }
 
-// An agent restarts behind an entry that serves, while the control group has
-// no majority: the entry's revision may be old, so the agent waits.
+// An agent restarts while its entry serves and the control group has no majority. The
+// entry's revision may be outdated, so the agent must wait for the majority.
 func TestRestartedAgentWaitsForTheMajority(t *testing.T) {
-	bubble(t, func(c *qt.C, f *fleet) {
+	withFleet(t, func(c *qt.C, f *fleet) {
 		f.source.set(1, false)
 		e, hub := f.entry()
 		e.Deliver(1, document(c, 1))
@@ -215,10 +218,10 @@
 	})
 }
 
-// A partition cuts the entry off: it goes on with the revision in force, and
-// old news after the partition changes nothing.
+// A partition separates the entry from the majority. The entry must keep the revision in
+// force, and an older revision that arrives late must not replace it.
 func TestEntryKeepsServingWithoutAMajority(t *testing.T) {
-	bubble(t, func(c *qt.C, f *fleet) {
+	withFleet(t, func(c *qt.C, f *fleet) {
 		f.source.set(2, false)
 		e, _ := f.entry()
 		e.Deliver(2, document(c, 2))
@@ -233,11 +236,11 @@
 	})
 }
 
-// The link to the followed entry stalls: nothing arrives and nothing fails. A
-// change is accepted meanwhile. The agent misses three beats and follows its
-// other entry, which holds the change.
+// The link to the followed entry stalls: no message arrives and no error is reported. A
+// change is accepted meanwhile. After three missed announcements the agent must follow
+// its other entry, which holds the change.
 func TestAgentLeavesASilentEntry(t *testing.T) {
-	bubble(t, func(c *qt.C, f *fleet) {
+	withFleet(t, func(c *qt.C, f *fleet) {
 		f.source.set(1, false)
 		e1, hub1 := f.entry()
 		e2, hub2 := f.entry()
@@ -261,10 +264,10 @@
 	})
 }
 
-// The followed entry dies while a change is on its way; the agent's other
-// entry has it.
+// The link to the followed entry ends before the agent has received a change. The agent
+// must get it from its other entry.
 func TestAgentFollowsAnotherEntryWhenItsLinkEnds(t *testing.T) {
-	bubble(t, func(c *qt.C, f *fleet) {
+	withFleet(t, func(c *qt.C, f *fleet) {
 		f.source.set(1, false)
 		e1, hub1 := f.entry()
 		e2, hub2 := f.entry()
@@ -281,17 +284,17 @@
 	})
 }
 
-// Many agents start at once and ask while a read from the majority is under
-// way. That read began before their questions and may not answer them; one
-// further read answers all.
+// Many agents start at once and send their queries while a read from the majority is in
+// progress. That read began before their queries and must not answer them; a single
+// further read must answer all of them.
 func TestQuestionsShareARead(t *testing.T) {
-	bubble(t, func(c *qt.C, f *fleet) {
+	withFleet(t, func(c *qt.C, f *fleet) {
 		f.source.set(1, false)
 		e, hub := f.entry()
 		e.Deliver(1, document(c, 1))
 		settle()
 		before := f.source.reads
-		f.source.slow = 500 * time.Millisecond
+		f.source.readDelay = 500 * time.Millisecond
 		f.link(f.agent(), "first", hub)
 		synctest.Wait()
 		var agents []*Agent
@@ -308,10 +311,10 @@
 	})
 }
 
-// What can't be read or compiled is counted and leaves the last revision in
-// force, and the next one that can be is taken.
+// A document that cannot be decoded must leave the last revision in force, and the next
+// valid document must be put in force.
 func TestUnusableDocumentLeavesTheLastInForce(t *testing.T) {
-	bubble(t, func(c *qt.C, f *fleet) {
+	withFleet(t, func(c *qt.C, f *fleet) {
 		f.source.set(1, false)
 		e, _ := f.entry()
 		e.Deliver(1, document(c, 1))
@@ -323,8 +326,8 @@
 	})
 }
 
-// A large document travels in pieces. One that is lost on the way spoils the
-// document, not the agent, which asks again.
+// A large document is sent in parts. If a part is missing or out of order, the agent must
+// discard the parts collected so far and accept the document when it is sent again.
 func TestPartsOutOfOrderAreFetchedAgain(t *testing.T) {
 	c := qt.New(t)
 	a := NewAgent(AgentOptions{Zone: "lhr-a", Live: &fleetconfig.Live{}})
@@ -332,10 +335,10 @@
 	half := len(whole) / 2
 	first := &Part{Revision: 1, Count: 2, Bytes: whole[:half]}
 	second := &Part{Revision: 1, Index: 1, Count: 2, Bytes: whole[half:]}
-	c.Assert(a.part(second), qt.IsNil)
-	c.Assert(a.part(first), qt.IsNil)
-	c.Assert(a.part(&Part{Revision: 2, Index: 1, Count: 2}), qt.IsNil)
-	c.Assert(a.part(second), qt.IsNil)
-	c.Assert(a.part(first), qt.IsNil)
-	c.Assert(a.part(second), qt.IsNotNil)
+	c.Assert(a.assemble(second), qt.IsNil)
+	c.Assert(a.assemble(first), qt.IsNil)
+	c.Assert(a.assemble(&Part{Revision: 2, Index: 1, Count: 2}), qt.IsNil)
+	c.Assert(a.assemble(second), qt.IsNil)
+	c.Assert(a.assemble(first), qt.IsNil)
+	c.Assert(a.assemble(second), qt.IsNotNil)
 }
