--- a/cmd/almondctl/client.go
+++ b/cmd/almondctl/client.go
@@ -16,26 +16,28 @@
 
 const jsonType = "application/json"
 
-// call sends one request to the servers in turn until one answers. A member
-// that answers "unavailable" is passed over, for another may see a majority.
+// call sends a request to the servers in order until one gives a valid response other
+// than "unavailable". It does not stop at a server that is unavailable, because another
+// member may see a majority.
 //
-// Every change carries an ID of its own, so that asking a second member after
-// the first answer was lost cannot make the change twice.
+// Sending a change to a second member after the first response was lost is safe: a
+// configuration and an order carry IDs by which a repetition is recognized, and the
+// other changes set a state that a repetition does not alter.
 func (c *cli) call(method, path string, query url.Values, in, out any) error {
 	deadline := time.Now().Add(c.timeout)
-	last := errors.New("no server was given")
+	lastErr := errors.New("no server was given")
 	for _, server := range c.servers {
-		err := c.callOne(server, method, path, query, in, out, deadline)
+		err := c.callServer(server, method, path, query, in, out, deadline)
 		var coded *exitError
 		if err == nil || errors.As(err, &coded) && coded.code != exitUnavailable {
 			return err
 		}
-		last = err
+		lastErr = err
 	}
-	return last
+	return lastErr
 }
 
-func (c *cli) callOne(server, method, path string, query url.Values, in, out any, deadline time.Time) error {
+func (c *cli) callServer(server, method, path string, query url.Values, in, out any, deadline time.Time) error {
 	req, resp := fasthttp.AcquireRequest(), fasthttp.AcquireResponse()
 	defer fasthttp.ReleaseRequest(req)
 	defer fasthttp.ReleaseResponse(resp)
@@ -55,12 +57,13 @@
 	if err := client.DoDeadline(req, resp, deadline); err != nil {
 		return &exitError{exitUnavailable, fmt.Errorf("%s: %w", server, err)}
 	}
-	return decode(server, resp, out)
+	return decodeResponse(server, resp, out)
 }
 
-// decode reads an answer; one that is not 200 becomes an error whose exit code
-// says whether the fleet refused or could not answer.
-func decode(server string, resp *fasthttp.Response, out any) error {
+// decodeResponse decodes the body of a response with status 200 into out. It turns any
+// other status into an error whose exit code tells whether the fleet refused the request,
+// was unavailable or failed.
+func decodeResponse(server string, resp *fasthttp.Response, out any) error {
 	if resp.StatusCode() == http.StatusOK {
 		if out == nil {
 			return nil
--- a/cmd/almondctl/config_local.go
+++ b/cmd/almondctl/config_local.go
@@ -16,23 +16,23 @@
 	"almondseam.dev/core/fleetconfig"
 )
 
-// The files of a configuration folder: the base, and an overlay for each site
-// under the site's name.
+// The file names of a configuration folder: the base, and one overlay per site, which is
+// named after the site.
 const (
 	baseFile = "base.yaml"
 	fileExt  = ".yaml"
 )
 
-// baseSite is what tables show for the base without an overlay.
-const baseSite = "(base)"
+// baseSiteLabel is shown in tables as the site of the base without an overlay.
+const baseSiteLabel = "(base)"
 
-// configFiles is one configuration folder as read.
+// configFiles holds the files of one configuration folder.
 type configFiles struct {
 	base     fleetconfig.File
 	overlays map[api.Site]fleetconfig.File
 }
 
-// addConfigLocal adds the commands that work on local files alone.
+// addConfigLocal adds the subcommands that only need local files.
 func addConfigLocal(c *cli, config *kingpin.CmdClause) {
 	addCheck(c, config)
 	addRender(c, config)
@@ -84,7 +84,7 @@
 	})
 }
 
-// readConfig reads a configuration folder; it checks nothing yet.
+// readConfig reads the files of a configuration folder without parsing them.
 func readConfig(dir string) (*configFiles, error) {
 	paths, err := filepath.Glob(filepath.Join(dir, "*"+fileExt))
 	if err != nil {
@@ -92,7 +92,7 @@
 	}
 	out := &configFiles{overlays: map[api.Site]fleetconfig.File{}}
 	for _, path := range paths {
-		data, err := readBounded(path)
+		data, err := readFileLimited(path)
 		if err != nil {
 			return nil, err
 		}
@@ -109,7 +109,7 @@
 	return out, nil
 }
 
-func readBounded(path string) ([]byte, error) {
+func readFileLimited(path string) ([]byte, error) {
 	info, err := os.Stat(path)
 	if err != nil {
 		return nil, err
@@ -120,12 +120,13 @@
 	return os.ReadFile(path)
 }
 
-// document checks the whole folder and gives what `config apply` sends.
+// document checks the whole folder and returns the document that `config apply` sends.
 func (f *configFiles) document() (*fleetconfig.Document, error) {
 	return fleetconfig.NewDocument(f.base, f.overlays)
 }
 
-// sites lists the base and then every site that the base names.
+// sites returns the empty site, which stands for the base, and then every site that the
+// base lists.
 func (f *configFiles) sites() ([]api.Site, error) {
 	fleet, err := fleetconfig.Parse(f.base)
 	if err != nil {
@@ -138,8 +139,8 @@
 	return out, nil
 }
 
-// merged gives the configuration of one site.
-func (f *configFiles) merged(site api.Site) (*fleetconfig.Fleet, fleetconfig.Origins, error) {
+// merge returns the configuration of one site; the empty site stands for the base.
+func (f *configFiles) merge(site api.Site) (*fleetconfig.Fleet, fleetconfig.Origins, error) {
 	overlay, ok := f.overlays[site]
 	if !ok {
 		overlay = fleetconfig.File{Name: string(site) + fileExt}
@@ -157,7 +158,7 @@
 	Changes   int      `json:"changes"`
 }
 
-// checkReport is the answer of `config check`.
+// checkReport is the output of `config check`.
 type checkReport struct {
 	Digest   string        `json:"digest"`
 	Sites    []siteSummary `json:"sites"`
@@ -171,14 +172,14 @@
 	}
 	doc, err := files.document()
 	if err != nil {
-		return plainProblems(err)
+		return formatProblems(err)
 	}
 	report := &checkReport{Digest: doc.Digest().String()}
 	if err := report.addSites(files); err != nil {
-		return plainProblems(err)
+		return formatProblems(err)
 	}
 	if err := report.addWarnings(files); err != nil {
-		return plainProblems(err)
+		return formatProblems(err)
 	}
 	for _, w := range report.Warnings {
 		fmt.Fprintln(c.stderr, "warning: "+w)
@@ -193,7 +194,7 @@
 	}
 	var base *fleetconfig.Fleet
 	for _, site := range sites {
-		fleet, _, err := files.merged(site)
+		fleet, _, err := files.merge(site)
 		if err != nil {
 			return err
 		}
@@ -216,11 +217,11 @@
 
 func (r *checkReport) addWarnings(files *configFiles) error {
 	for _, site := range slices.Sorted(maps.Keys(files.overlays)) {
-		repeats, err := fleetconfig.Redundant(files.base, files.overlays[site])
+		redundant, err := fleetconfig.Redundant(files.base, files.overlays[site])
 		if err != nil {
 			return err
 		}
-		for _, p := range repeats {
+		for _, p := range redundant {
 			r.Warnings = append(r.Warnings, p.String())
 		}
 	}
@@ -242,14 +243,14 @@
 	}
 	sites, err := files.sites()
 	if err != nil {
-		return plainProblems(err)
+		return formatProblems(err)
 	}
 	if !slices.Contains(sites, site) {
 		return fmt.Errorf("the base lists no site %q", site)
 	}
-	fleet, origins, err := files.merged(site)
+	fleet, origins, err := files.merge(site)
 	if err != nil {
-		return plainProblems(err)
+		return formatProblems(err)
 	}
 	if c.format == formatJSON {
 		return c.print(fleetconfig.Values(fleet, origins))
@@ -275,37 +276,37 @@
 	if err != nil {
 		return err
 	}
-	changes, err := diffFolders(a, b)
+	changes, err := diffConfigs(a, b)
 	if err != nil {
-		return plainProblems(err)
+		return formatProblems(err)
 	}
 	t := &table{head: []string{"SITE", "PATH", "OLD", "NEW"}}
 	for _, x := range changes {
-		t.add(cmp.Or(string(x.Site), baseSite), x.Path, x.Old, x.New)
+		t.add(cmp.Or(string(x.Site), baseSiteLabel), x.Path, x.Old, x.New)
 	}
 	return c.print(changes, t)
 }
 
-// diffFolders compares the base, and each site that both folders have.
-func diffFolders(a, b *configFiles) ([]siteChange, error) {
-	sitesA, err := a.sites()
+// diffConfigs compares the base and each site that both folders list.
+func diffConfigs(before, after *configFiles) ([]siteChange, error) {
+	sitesBefore, err := before.sites()
 	if err != nil {
 		return nil, err
 	}
-	sitesB, err := b.sites()
+	sitesAfter, err := after.sites()
 	if err != nil {
 		return nil, err
 	}
 	out := []siteChange{}
-	for _, site := range sitesB {
-		if !slices.Contains(sitesA, site) {
+	for _, site := range sitesAfter {
+		if !slices.Contains(sitesBefore, site) {
 			continue
 		}
-		old, _, err := a.merged(site)
+		old, _, err := before.merge(site)
 		if err != nil {
 			return nil, err
 		}
-		next, _, err := b.merged(site)
+		next, _, err := after.merge(site)
 		if err != nil {
 			return nil, err
 		}
@@ -316,9 +317,10 @@
 	return out, nil
 }
 
-// plainProblems leaves the problems alone of a configuration error: each line
-// starts with its file, as editors and scripts expect.
-func plainProblems(err error) error {
+// formatProblems reduces a configuration error to its problems. It puts each on a line of
+// its own that starts with the file, as editors and scripts expect. It returns other
+// errors unchanged.
+func formatProblems(err error) error {
 	var problems fleetconfig.Problems
 	if !errors.As(err, &problems) {
 		return err
--- a/cmd/almondctl/config_local_test.go
+++ b/cmd/almondctl/config_local_test.go
@@ -21,14 +21,15 @@
 	return code, stdout.String(), stderr.String()
 }
 
-// The two example fleets pass the checks, say what the users' brief says of
-// them, and repeat nothing of the base in an overlay.
-func TestExamplesAreTheBriefsFleets(t *testing.T) {
+// The two example configurations must pass `config check` without a warning, so no
+// overlay repeats a value of the base, and must contain the expected zones, services,
+// models and customers.
+func TestExampleConfigurations(t *testing.T) {
 	tests := []struct {
-		name     string
-		zones    map[api.Zone]api.Site
-		bookings api.ServiceID
-		note     api.ModelID
+		name      string
+		zones     map[api.Zone]api.Site
+		serviceID api.ServiceID
+		modelID   api.ModelID
 	}{
 		{"sur-sangat", map[api.Zone]api.Site{"lhr-a": "lhr", "lhr-b": "lhr", "lhr-c": "lhr"}, "bookings", "programme-writer"},
 		{"atlas-lumiere", map[api.Zone]api.Site{"casa-port": "casa", "casa-anfa": "casa", "rabat-agdal": "rabat", "kech-gueliz": "kech"}, "shoot-bookings", "lookbook-writer"},
@@ -50,10 +51,10 @@
 				c.Assert(err, qt.IsNil)
 				got, _ := s.Zone(zone)
 				c.Assert(got, qt.Equals, site)
-				booking, ok := s.Service(tt.bookings)
+				service, ok := s.Service(tt.serviceID)
 				c.Assert(ok, qt.IsTrue)
-				c.Assert(booking.MayRepeat("POST"), qt.IsFalse)
-				model, ok := s.Model(tt.note)
+				c.Assert(service.MayRepeat("POST"), qt.IsFalse)
+				model, ok := s.Model(tt.modelID)
 				c.Assert(ok, qt.IsTrue)
 				c.Assert(model.KindOf("", 0).Class, qt.Equals, fleetconfig.ClassNote)
 				c.Assert(model.KindOf("", 32).Class, qt.Equals, fleetconfig.ClassTag)
@@ -62,9 +63,9 @@
 			c.Assert(err, qt.IsNil)
 			c.Assert(base.Customers(), qt.HasLen, 10)
 			for i := range base.Customers() {
-				cu, ok := base.CustomerByKey("example-" + tt.name + "-" + string(base.Customers()[i].ID))
+				customer, ok := base.CustomerByKey("example-" + tt.name + "-" + string(base.Customers()[i].ID))
 				c.Assert(ok, qt.IsTrue)
-				c.Assert(cu.ID, qt.Equals, base.Customers()[i].ID)
+				c.Assert(customer.ID, qt.Equals, base.Customers()[i].ID)
 			}
 		})
 	}
@@ -87,8 +88,8 @@
 	c.Assert(errs, qt.Contains, `no site "nowhere"`)
 }
 
-// An operator changes a copy of a folder: the difference is listed by site and
-// path, and a mistake is refused with its place.
+// A changed value must be listed with its site and path, and an unknown key must be
+// rejected with its file, line and column.
 func TestDiffAndCheckOfAChangedFolder(t *testing.T) {
 	c := qt.New(t)
 	src := filepath.Join(examples, "atlas-lumiere")
@@ -109,8 +110,9 @@
 	c.Assert(errs, qt.Contains, "kech.yaml:4:5: customers[styling-kech].wait: unknown key")
 }
 
-// The committed page is what the types' comments say today. After a change of
-// the types: go run ./cmd/almondctl config reference > docs/CONFIG.md
+// The committed reference page must match the one generated from the comments of the
+// configuration types. After a change to these types, run:
+// go run ./cmd/almondctl config reference > docs/CONFIG.md
 func TestReferencePageIsUpToDate(t *testing.T) {
 	c := qt.New(t)
 	code, page, _ := run("config", "reference")
--- a/cmd/almondctl/config_remote.go
+++ b/cmd/almondctl/config_remote.go
@@ -24,11 +24,12 @@
 	base     int64
 }
 
-// baseCurrent as the base means "whatever is in force": the revision is read
-// first and then given as the base, so that a change made in between still wins.
+// baseCurrent as the base means the newest accepted revision. That revision is read first
+// and then sent as the base, so that a change accepted in between takes precedence and
+// this one is refused.
 const baseCurrent = -1
 
-// addConfigRemote adds the commands that speak to the control group.
+// addConfigRemote adds the subcommands that send requests to the control group.
 func addConfigRemote(c *cli, config *kingpin.CmdClause) {
 	addApply(c, config)
 	config.Command("history", "List the accepted revisions, newest last.").
@@ -51,7 +52,7 @@
 }
 
 func (c *cli) configApply(f applyFlags) error {
-	document, err := encodeFolder(f.dir)
+	document, err := encodeConfig(f.dir)
 	if err != nil {
 		return err
 	}
@@ -75,7 +76,7 @@
 	return c.print(r, t)
 }
 
-func encodeFolder(dir string) ([]byte, error) {
+func encodeConfig(dir string) ([]byte, error) {
 	files, err := readConfig(dir)
 	if err != nil {
 		return nil, err
@@ -87,9 +88,9 @@
 	return fleetconfig.EncodeDocument(document)
 }
 
-func (c *cli) baseRevision(given int64) (api.Revision, error) {
-	if given != baseCurrent {
-		return api.Revision(given), nil
+func (c *cli) baseRevision(flag int64) (api.Revision, error) {
+	if flag != baseCurrent {
+		return api.Revision(flag), nil
 	}
 	list, err := c.revisions()
 	if err != nil || len(list) == 0 {
@@ -116,8 +117,8 @@
 	return c.print(list, t)
 }
 
-// configStatus exits with exitFailed while a site is behind, so that a script
-// can wait for a change to be in force everywhere.
+// configStatus prints the revisions in force at each site. It fails with exitFailed while
+// a site is behind, so that a script can wait until a change is in force everywhere.
 func (c *cli) configStatus() error {
 	var s opapi.Status
 	if err := c.call(http.MethodGet, opapi.PathStatus, nil, nil, &s); err != nil {
@@ -143,7 +144,7 @@
 	return nil
 }
 
-// addExplain adds `explain`.
+// addExplain adds the command `explain`.
 func addExplain(c *cli, app *kingpin.Application) {
 	cmd := app.Command("explain", "Show what is known of a request that ran under a claim.")
 	id := cmd.Arg("request", "The request's ID.").Required().String()
--- a/cmd/almondctl/main.go
+++ b/cmd/almondctl/main.go
@@ -1,9 +1,8 @@
-// Command almondctl is the operators' command. It speaks to the operator
-// interface of any control member; `config check`, `render` and `diff` work on
-// local files alone.
+// Command almondctl operates a fleet. It sends requests to the operator interface of a
+// control member. `config check`, `render`, `diff` and `reference` work without one.
 //
-// Exit codes: 0 done, 1 failed, 2 wrong usage, 3 refused by the fleet (the
-// message says why), 4 unavailable (no member answered, or no majority).
+// Exit codes: 0 success, 1 failure, 2 wrong usage, 3 refused by the fleet (the
+// message gives the reason), 4 unavailable (no member answered, or no majority).
 package main
 
 /*
@@ -21,7 +20,7 @@
 	"github.com/alecthomas/kingpin/v2"
 )
 
-// The exit codes that scripts can rely on.
+// The exit codes. Scripts depend on them.
 const (
 	exitOK          = 0
 	exitFailed      = 1
@@ -37,15 +36,15 @@
 	err  error
 }
 
-// Error gives the cause's text.
+// Error returns the message of the cause.
 func (e *exitError) Error() string { return e.err.Error() }
 
-// Unwrap gives the cause.
+// Unwrap returns the cause.
 func (e *exitError) Unwrap() error { return e.err }
 
-// cli holds the global flags and the streams. A command's Action sets run; it
-// is called once the whole command line has been parsed, so that a wrong flag
-// is told apart from a command that failed.
+// cli holds the global flags and the output streams. The Action of a command only sets
+// run, which is called once the whole command line has been parsed. Errors from parsing
+// are thus wrong usage, and errors from run are failures of the command.
 type cli struct {
 	stdout  io.Writer
 	stderr  io.Writer
@@ -60,7 +59,7 @@
 	os.Exit(execute(os.Args[1:], os.Stdout, os.Stderr))
 }
 
-// execute runs one command line and gives its exit code.
+// execute runs one command line and returns its exit code.
 func execute(args []string, stdout, stderr io.Writer) int {
 	c := &cli{stdout: stdout, stderr: stderr}
 	app := newApp(c)
@@ -83,8 +82,8 @@
 	return exitFailed
 }
 
-// newApp builds the command tree. Each file of this package adds its commands
-// through one add function called here.
+// newApp returns the command tree. Each top-level command with its subcommands is added
+// by an add function.
 func newApp(c *cli) *kingpin.Application {
 	app := kingpin.New("almondctl", "Operate an almondseam fleet.")
 	app.UsageWriter(c.stdout)
--- a/cmd/almondctl/operate.go
+++ b/cmd/almondctl/operate.go
@@ -9,20 +9,20 @@
 	"almondseam.dev/node/control/opapi"
 )
 
-// addMembers adds `members` and its commands.
+// addMembers adds the command `members` with its subcommands.
 func addMembers(c *cli, app *kingpin.Application) {
 	members := app.Command("members", "List and change the control group.")
 	members.Command("list", "List the group.").
 		Action(func(*kingpin.ParseContext) error { c.run = c.membersList; return nil })
 	add := members.Command("add", "Add a member as a learner.")
 	address := new(string)
-	addChange(c, add, opapi.MemberAdd, address)
+	addMemberChange(c, add, opapi.MemberAdd, address)
 	add.Arg("address", "The address that other members dial, host:port.").Required().StringVar(address)
-	addChange(c, members.Command("promote", "Make a learner that has caught up a voter."), opapi.MemberPromote, new(string))
-	addChange(c, members.Command("remove", "Remove a member; refused when it would lose the majority."), opapi.MemberRemove, new(string))
+	addMemberChange(c, members.Command("promote", "Make a learner that has caught up a voter."), opapi.MemberPromote, new(string))
+	addMemberChange(c, members.Command("remove", "Remove a member; refused when it would lose the majority."), opapi.MemberRemove, new(string))
 }
 
-func addChange(c *cli, cmd *kingpin.CmdClause, change string, address *string) {
+func addMemberChange(c *cli, cmd *kingpin.CmdClause, change string, address *string) {
 	id := cmd.Arg("id", "The member's ID, as its log and `members list` show it.").Required().Uint64()
 	cmd.Action(func(*kingpin.ParseContext) error {
 		c.run = func() error {
@@ -49,7 +49,7 @@
 	return c.print(change, t)
 }
 
-// addDrain adds `drain`.
+// addDrain adds the command `drain`.
 func addDrain(c *cli, app *kingpin.Application) {
 	var d opapi.Drain
 	cmd := app.Command("drain", "Give a target no new work; what runs there is finished.")
@@ -72,7 +72,7 @@
 	return c.print(d, t)
 }
 
-// addOrders adds `orders` and its commands.
+// addOrders adds the command `orders` with its subcommands.
 func addOrders(c *cli, app *kingpin.Application) {
 	orders := app.Command("orders", "List and give orders to targets.")
 	orders.Command("list", "List the orders.").Default().
@@ -117,12 +117,14 @@
 func ordersTable(list ...opapi.Order) *table {
 	t := &table{head: []string{"FENCE", "ID", "TARGET", "ACTION", "WHAT", "STATE", "AUTHOR", "MESSAGE"}}
 	for _, o := range list {
-		t.add(o.Fence, o.ID, o.Target, o.Action, what(o), o.State, o.Author, o.Message)
+		t.add(o.Fence, o.ID, o.Target, o.Action, orderSubject(o), o.State, o.Author, o.Message)
 	}
 	return t
 }
 
-func what(o opapi.Order) string {
+// orderSubject returns the role, or the model with its adapter and version, that an order
+// is about.
+func orderSubject(o opapi.Order) string {
 	if o.Role != "" {
 		return o.Role
 	}
--- a/cmd/almondctl/output.go
+++ b/cmd/almondctl/output.go
@@ -13,13 +13,13 @@
 	formatJSON  = "json"
 )
 
-// table is one printed table; cells hold no tab or newline.
+// table is a table to print. Cells must not contain tabs or newlines.
 type table struct {
 	head []string
 	rows [][]string
 }
 
-// add appends a row; each cell is printed with its default format.
+// add appends a row. Each cell is formatted with fmt.Sprint.
 func (t *table) add(cells ...any) {
 	row := make([]string, len(cells))
 	for i, cell := range cells {
@@ -28,7 +28,7 @@
 	t.rows = append(t.rows, row)
 }
 
-// print writes v as JSON, or as the tables given.
+// print writes v as JSON or the tables as text, depending on the output format.
 func (c *cli) print(v any, tables ...*table) error {
 	if c.format == formatJSON {
 		enc := json.NewEncoder(c.stdout)
--- a/cmd/almondctl/status.go
+++ b/cmd/almondctl/status.go
@@ -10,7 +10,7 @@
 	"almondseam.dev/node/control/opapi"
 )
 
-// addStatus adds `status` and `targets`.
+// addStatus adds the commands `status` and `targets`.
 func addStatus(c *cli, app *kingpin.Application) {
 	app.Command("status", "Who leads, who lags, which site runs which revision, which targets leave.").
 		Action(func(*kingpin.ParseContext) error { c.run = c.status; return nil })
--- a/cmd/almondctl/tutorial_test.go
+++ b/cmd/almondctl/tutorial_test.go
@@ -16,20 +16,21 @@
 	"almondseam.dev/node/process"
 )
 
-// tutorial walks through docs/TUTORIAL.md: of its sh blocks it carries out the
-// lines that are `almondctl config`, `cp -r` and `sed -i`, and each line of its
-// text blocks must be among what the commands above it printed.
+// tutorial executes docs/TUTORIAL.md. From the page's sh blocks it runs the lines that
+// start with `almondctl config`, `cp -r` or `sed -i`. Each line of its text blocks must
+// have been printed by one of the commands above it.
 type tutorial struct {
-	c       *qt.C
-	printed map[string]bool
-	ran     int
+	c        *qt.C
+	printed  map[string]bool
+	commands int
 }
 
+// line executes one line of an sh block.
 func (tu *tutorial) line(line string) {
 	words := strings.Fields(strings.Split(line, " #")[0])
 	switch {
 	case strings.HasPrefix(line, "almondctl config "):
-		tu.command(line, words[1:])
+		tu.runCommand(line, words[1:])
 	case strings.HasPrefix(line, "cp -r "):
 		tu.c.Assert(os.CopyFS(words[3], os.DirFS(words[2])), qt.IsNil)
 	case strings.HasPrefix(line, "sed -i "):
@@ -37,7 +38,9 @@
 	}
 }
 
-func (tu *tutorial) command(line string, args []string) {
+// runCommand runs one almondctl command and records its output. The exit code must be 0,
+// or the digit that the line gives in a comment `# exits with N`.
+func (tu *tutorial) runCommand(line string, args []string) {
 	want := exitOK
 	if _, code, ok := strings.Cut(line, "# exits with "); ok {
 		want = int(code[0] - '0')
@@ -45,12 +48,12 @@
 	code, out, errs := run(args...)
 	tu.c.Assert(code, qt.Equals, want, qt.Commentf("%s\n%s", line, errs))
 	for _, l := range strings.Split(out+errs, "\n") {
-		tu.printed[normal(l)] = true
+		tu.printed[collapseSpace(l)] = true
 	}
-	tu.ran++
+	tu.commands++
 }
 
-// edit carries out sed -i 's/old/new/' file.
+// edit executes a line of the form sed -i 's/old/new/' file.
 func (tu *tutorial) edit(line string) {
 	parts := strings.Split(line, "'")
 	file := strings.TrimSpace(parts[2])
@@ -61,9 +64,9 @@
 	tu.c.Assert(os.WriteFile(file, []byte(strings.ReplaceAll(string(text), s[1], s[2])), 0o600), qt.IsNil)
 }
 
-func normal(line string) string { return strings.Join(strings.Fields(line), " ") }
+func collapseSpace(line string) string { return strings.Join(strings.Fields(line), " ") }
 
-func (tu *tutorial) walk(page string) {
+func (tu *tutorial) runPage(page string) {
 	block := ""
 	for _, line := range strings.Split(page, "\n") {
 		switch {
@@ -74,7 +77,7 @@
 		case block == "sh":
 			tu.line(line)
 		case block == "text":
-			tu.c.Assert(tu.printed[normal(line)], qt.IsTrue, qt.Commentf("no command printed: %s", line))
+			tu.c.Assert(tu.printed[collapseSpace(line)], qt.IsTrue, qt.Commentf("no command printed: %s", line))
 		}
 	}
 }
@@ -88,11 +91,12 @@
 	startControl(c)
 	t.Chdir(dir)
 	tu := &tutorial{c: c, printed: map[string]bool{}}
-	tu.walk(string(page))
-	c.Assert(tu.ran > 10, qt.IsTrue, qt.Commentf("%d commands ran", tu.ran))
+	tu.runPage(string(page))
+	c.Assert(tu.commands > 10, qt.IsTrue, qt.Commentf("%d commands ran", tu.commands))
 }
 
-// startControl runs a control group of one and points almondctl at it.
+// startControl starts a control group of one member, sets almondctl's environment
+// variables to its address and token, and waits until it answers.
 func startControl(c *qt.C) {
 	const token = "a token for the tutorial's test"
 	log := zerolog.Nop()
@@ -111,11 +115,11 @@
 	c.Cleanup(func() { c.Check(ctl.Stop(context.Background()), qt.IsNil) })
 	c.Setenv("ALMONDCTL_SERVER", operators.Addr().String())
 	c.Setenv("ALMONDCTL_TOKEN", token)
-	for end := time.Now().Add(30 * time.Second); ; time.Sleep(20 * time.Millisecond) {
+	for deadline := time.Now().Add(30 * time.Second); ; time.Sleep(20 * time.Millisecond) {
 		code, _, errs := run("config", "history")
 		if code == exitOK {
 			return
 		}
-		c.Assert(time.Now().Before(end), qt.IsTrue, qt.Commentf("%s", errs))
+		c.Assert(time.Now().Before(deadline), qt.IsTrue, qt.Commentf("%s", errs))
 	}
 }
--- a/cmd/almondctl/zones.go
+++ b/cmd/almondctl/zones.go
@@ -7,7 +7,7 @@
 	"github.com/alecthomas/kingpin/v2"
 )
 
-// addZones adds `zones` and its commands.
+// addZones adds the command `zones` with its subcommands.
 func addZones(c *cli, app *kingpin.Application) {
 	zones := app.Command("zones", "Evacuate availability zones and take them back.")
 	zones.Command("list", "List the zones that have been evacuated or taken back.").Default().
