--- a/cmd/almondseam/bootstrap.go
+++ b/cmd/almondseam/bootstrap.go
@@ -16,7 +16,7 @@
 Example:
   almondseam bootstrap --data-dir=data-1 --control-advertise=10.1.0.4:7401`
 
-// bootstrapCommand is `almondseam bootstrap`.
+// bootstrapCommand holds the flags of `almondseam bootstrap`.
 type bootstrapCommand struct {
 	cmd       *kingpin.CmdClause
 	dir       string
--- a/cmd/almondseam/drain_test.go
+++ b/cmd/almondseam/drain_test.go
@@ -10,12 +10,12 @@
 	"github.com/alecthomas/kingpin/v2"
 )
 
-// The time that a stop may take is that of the configuration in force when it
-// begins, at an entry and at an agent; --drain goes before it, and holds before
-// there is any.
+// The drain timeout of an entry or an agent must be that of the configuration in force
+// when the stop begins. --drain overrides it, and the default of --drain applies while no
+// configuration is in force.
 func TestDrainFollowsTheConfiguration(t *testing.T) {
-	publish := func(live *fleetconfig.Live, rev api.Revision, drain string) {
-		f, err := fleetconfig.Parse(fleetconfig.File{Name: "test.yaml", Data: fmt.Appendf(nil, "name: t\nsites: [{id: s, region: r, zones: [a]}]\nlimits: {drain: %s}\n", drain)})
+	publish := func(live *fleetconfig.Live, rev api.Revision, drainTimeout string) {
+		f, err := fleetconfig.Parse(fleetconfig.File{Name: "test.yaml", Data: fmt.Appendf(nil, "name: t\nsites: [{id: s, region: r, zones: [a]}]\nlimits: {drain: %s}\n", drainTimeout)})
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -31,9 +31,9 @@
 		}
 		return set
 	}
-	is := func(n *node, want time.Duration) {
+	checkDrain := func(n *node, want time.Duration) {
 		t.Helper()
-		if got := n.drain(); got != want {
+		if got := n.drainTimeout(); got != want {
 			t.Errorf("drain is %s, want %s", got, want)
 		}
 	}
@@ -45,12 +45,12 @@
 		if live == nil {
 			live = n.agentLive
 		}
-		is(n, 10*time.Minute)
+		checkDrain(n, 10*time.Minute)
 		publish(live, 1, "7s")
-		is(n, 7*time.Second)
+		checkDrain(n, 7*time.Second)
 		publish(live, 2, "0s")
-		is(n, 0)
+		checkDrain(n, 0)
 		n.set = parse("--drain=3s")
-		is(n, 3*time.Second)
+		checkDrain(n, 3*time.Second)
 	}
 }
--- a/cmd/almondseam/engine.go
+++ b/cmd/almondseam/engine.go
@@ -18,7 +18,7 @@
 It speaks the OpenAI-compatible protocol; a request may fix its output's length
 with the field x_output_tokens.`
 
-// engineCommand is `almondseam engine`.
+// engineCommand holds the flags of `almondseam engine`.
 type engineCommand struct {
 	cmd    *kingpin.CmdClause
 	listen string
--- a/cmd/almondseam/main.go
+++ b/cmd/almondseam/main.go
@@ -1,5 +1,6 @@
-// Command almondseam runs the processes of the system: `run` one with the given
-// roles, `solo` all of them with the built-in stand-in engine.
+// Command almondseam runs the processes of the system: `run` starts one with the given
+// roles, `routed` one on the users' platform, and `solo` all roles with the built-in
+// stand-in engine. `engine` runs that engine alone, and `bootstrap` founds a control group.
 package main
 
 /*
@@ -15,8 +16,8 @@
 	"github.com/alecthomas/kingpin/v2"
 )
 
-// Exit codes. A wrong setting is told apart from a failure, so that a service
-// manager need not start it again.
+// The exit codes. A wrong setting has its own, so that a service manager does not have to
+// restart a process that cannot start.
 const (
 	exitOK     = 0
 	exitFailed = 1
@@ -25,7 +26,7 @@
 
 func main() { os.Exit(execute(os.Args[1:], os.Stdout, os.Stderr)) }
 
-// execute runs one command line and gives its exit code.
+// execute runs one command line and returns its exit code.
 func execute(args []string, stdout, stderr io.Writer) int {
 	app := kingpin.New("almondseam", "A serving system for generations of unknown length on crowded engines.")
 	app.UsageWriter(stdout)
@@ -37,14 +38,14 @@
 	engine := newEngineCommand(app)
 	bootstrap := newBootstrapCommand(app)
 	routed := newRoutedCommand(app)
-	helped := false
-	app.Terminate(func(int) { helped = true })
+	helpShown := false
+	app.Terminate(func(int) { helpShown = true })
 	cmd, err := app.Parse(args)
-	if helped {
+	if helpShown {
 		return exitOK
 	}
 	if err != nil {
-		fmt.Fprintf(stderr, "almondseam: %v (see almondseam --help)\n", named(app, args, err))
+		fmt.Fprintf(stderr, "almondseam: %v (see almondseam --help)\n", withFlagName(app, args, err))
 		return exitUsage
 	}
 	out := streams{stdout, stderr}
@@ -61,12 +62,12 @@
 	return run.execute(out)
 }
 
-// named adds the flag to an error of kingpin's that lacks it: for a value that a
-// flag refuses kingpin gives the value's error alone. Values of the environment
-// stay without.
-func named(app *kingpin.Application, args []string, err error) error {
-	ctx, perr := app.ParseContext(args)
-	if perr != nil {
+// withFlagName adds the name of the flag to an error of app.Parse. If a flag rejects its
+// value, kingpin returns the error of the value without the flag's name. Errors of values
+// from environment variables are returned unchanged.
+func withFlagName(app *kingpin.Application, args []string, err error) error {
+	ctx, parseErr := app.ParseContext(args)
+	if parseErr != nil {
 		return err
 	}
 	for _, el := range ctx.Elements {
@@ -75,14 +76,14 @@
 			continue
 		}
 		m := flag.Model()
-		if verr := m.Value.Set(*el.Value); verr != nil && verr.Error() == err.Error() {
+		if setErr := m.Value.Set(*el.Value); setErr != nil && setErr.Error() == err.Error() {
 			return fmt.Errorf("--%s: %w", m.Name, err)
 		}
 	}
 	return err
 }
 
-// streams are the outputs of a command.
+// streams are the output streams of a command.
 type streams struct {
 	out io.Writer
 	err io.Writer
--- a/cmd/almondseam/main_test.go
+++ b/cmd/almondseam/main_test.go
@@ -16,35 +16,35 @@
 	"github.com/rs/zerolog"
 )
 
-// output is a stream that several goroutines write to, as they do to a file.
-type output struct {
+// syncBuffer is a buffer that several goroutines can write to at the same time.
+type syncBuffer struct {
 	mu  sync.Mutex
 	buf bytes.Buffer
 }
 
-func (o *output) Write(p []byte) (int, error) {
+func (o *syncBuffer) Write(p []byte) (int, error) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	return o.buf.Write(p)
 }
 
-func (o *output) String() string {
+func (o *syncBuffer) String() string {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	return o.buf.String()
 }
 
-// call runs a command line as a shell would.
+// call runs a command line and returns its exit code and output.
 func call(args ...string) (code int, stdout, stderr string) {
-	var out, err output
+	var out, err syncBuffer
 	code = execute(args, &out, &err)
 	return code, out.String(), err.String()
 }
 
 const testKey = "--fleet-key=a-fleet-key-for-tests"
 
-// A wrong setting ends the process with 2, so that a service manager leaves it
-// alone, and the message names the flag to mend.
+// A wrong setting must end the process with exit code 2, so that a service manager does
+// not restart it, and the message must name the flag.
 func TestWrongSettingsNameTheirFlag(t *testing.T) {
 	base := []string{"run", "--instance=i", "--zone=z", "--ops-listen=127.0.0.1:0"}
 	entry := append(base[:4:4], testKey, "--role=entry", "--listen=127.0.0.1:0", "--link-listen=127.0.0.1:0")
@@ -84,20 +84,21 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			c := qt.New(t)
-			code, _, stderr := call(with(tc.args, tc.more)...)
+			code, _, stderr := call(replaceFlags(tc.args, tc.more)...)
 			c.Assert(code, qt.Equals, exitUsage, qt.Commentf("%s", stderr))
 			c.Assert(stderr, qt.Contains, tc.want)
 		})
 	}
 }
 
-// with gives a command line with more in place of flags of the same names.
-func with(args, more []string) []string {
+// replaceFlags returns the command line args with the flags of more, which replace flags
+// of the same names.
+func replaceFlags(args, more []string) []string {
 	out := append([]string{args[0]}, more...)
 	for _, a := range args[1:] {
 		name, _, _ := strings.Cut(a, "=")
-		same := func(m string) bool { return strings.HasPrefix(m, name+"=") }
-		if !slices.ContainsFunc(more, same) {
+		matches := func(m string) bool { return strings.HasPrefix(m, name+"=") }
+		if !slices.ContainsFunc(more, matches) {
 			out = append(out, a)
 		}
 	}
@@ -112,8 +113,7 @@
 	}
 }
 
-// A newcomer tries the system with one command: it shows a generation of the
-// length asked for and ends in order.
+// solo --once must print one generation of the requested length and exit with code 0.
 func TestSoloOnce(t *testing.T) {
 	c := qt.New(t)
 	code, stdout, stderr := call("solo", "--once", "--listen=127.0.0.1:0", "--tokens=7")
@@ -121,8 +121,8 @@
 	c.Assert(regexp.MustCompile(`(?m)^7 tokens in `).MatchString(stdout), qt.IsTrue, qt.Commentf("%s", stdout))
 }
 
-// A process that can do nothing yet must not pass for ready: an agent whose entry
-// is away, and a control member that was never added to a group.
+// A process that cannot serve yet must not report that it is ready: an agent whose entry
+// cannot be reached, and a control member that was never added to a group.
 func TestReadyTellsWhatIsMissing(t *testing.T) {
 	for name, tc := range map[string]struct {
 		args []string
@@ -148,7 +148,7 @@
 	}
 }
 
-// newNode reads settings as run does and stops short of starting.
+// newNode returns a node with the settings that run would use, without starting it.
 func newNode(c *qt.C, args []string) *node {
 	app := kingpin.New("almondseam", "")
 	run := newRunCommand(app)
@@ -159,10 +159,11 @@
 	return &node{set: &run.set, log: &log, metrics: metrics.New(&log)}
 }
 
-// A member's folder is lost and its process is started again as before. It must
-// come up as a new member that waits to be added, and found no second group: a
-// key could then be granted by both. Founding is a command of its own, which
-// refuses a folder that belongs to a group.
+// A member loses its data folder and its process is restarted with the same flags. It
+// must come up as a new member that waits to be added, and must not found a second group,
+// because both groups could then grant the same key.
+// Founding is therefore not a flag of run but a command of its own, which refuses a
+// folder that belongs to a group.
 func TestOnlyBootstrapFoundsAGroup(t *testing.T) {
 	c := qt.New(t)
 	dir := c.TempDir()
@@ -177,8 +178,9 @@
 	c.Assert(errs, qt.Contains, "--bootstrap")
 }
 
-// The process is told to stop. The balancer must see it at once, while callers
-// that it still sends are served: the port closes only after the delay.
+// A process that is told to stop must report at once that it is not ready, while its
+// roles still run, so that the load balancer stops sending callers before the port
+// closes.
 func TestReadyEndsBeforeTheDrainBegins(t *testing.T) {
 	c := qt.New(t)
 	n := newNode(c, []string{"--role=control", "--operator-token=a-token-for-operators", "--control-listen=127.0.0.1:0", "--operator-listen=127.0.0.1:0", "--data-dir=" + t.TempDir()})
--- a/cmd/almondseam/routed.go
+++ b/cmd/almondseam/routed.go
@@ -30,7 +30,7 @@
 
 Its settings come from the platform's file, which ` + platform.SettingsVariable + ` names.`
 
-// routedCommand is `almondseam routed ROLE`.
+// routedCommand holds the arguments of `almondseam routed ROLE`.
 type routedCommand struct {
 	cmd     *kingpin.CmdClause
 	role    string
@@ -38,7 +38,8 @@
 	keyFile string
 	level   string
 	opsPort int
-	// linksListen is the host at which a control member listens for links.
+	// linksListen is the host at which a control member listens for links, by default
+	// the host of the platform's settings.
 	linksListen string
 }
 
@@ -53,15 +54,16 @@
 	return c
 }
 
-// memoryShare is the part of the platform's memory limit that the runtime may use
-// before it collects harder; the rest is for stacks that are not counted and for
-// bytes that have arrived and are not read yet.
-const memoryShare = 0.7
+// memoryLimitShare is the fraction of the platform's memory limit that is set as the
+// memory limit of the Go runtime, near which garbage is collected more often. The rest is
+// for stacks that the runtime does not count and for received bytes that are not read yet.
+const memoryLimitShare = 0.7
 
-// logClose is how long the end of a process waits for its log to be written.
-const logClose = 300 * time.Millisecond
+// closeTimeout bounds how long an exiting process waits for its HTTP servers to close and
+// then for its log to be written.
+const closeTimeout = 300 * time.Millisecond
 
-// routed is one process on the platform.
+// routed is one process on the users' platform.
 type routed struct {
 	set     platform.Settings
 	command *routedCommand
@@ -83,14 +85,14 @@
 		return out.usage(err)
 	}
 	if set.MemoryBytes > 0 {
-		debug.SetMemoryLimit(int64(float64(set.MemoryBytes) * memoryShare))
+		debug.SetMemoryLimit(int64(float64(set.MemoryBytes) * memoryLimitShare))
 	}
 	level, err := zerolog.ParseLevel(c.level)
 	if err != nil {
 		return out.usage(fmt.Errorf("--log-level: %w", err))
 	}
 	sink := logsink.New(out.out)
-	defer sink.Close(logClose)
+	defer sink.Close(closeTimeout)
 	log := zerolog.New(sink).Level(level).With().Timestamp().Str("instance", string(set.Instance)).Logger()
 	r := &routed{set: set, command: c, log: &log, metrics: metrics.New(&log)}
 	if err := r.start(); err != nil {
@@ -122,7 +124,8 @@
 	return nil
 }
 
-// serve runs an app on an address of the settings.
+// serve serves an app in the background on addr, which comes from the given field of the
+// settings' section listen.
 func (r *routed) serve(field, addr string, app *fiber.App) error {
 	if addr == "" {
 		return &usageError{fmt.Errorf("%w: field listen.%s is missing", platform.ErrSettings, field)}
@@ -200,9 +203,10 @@
 	return r.serve("control", r.set.Operators, platform.ControlApp(c, c, c))
 }
 
-// wait runs until it is told to stop. SIGHUP says that the settings file has
-// changed; nothing in it changes while a process runs but the seeds, which the
-// group itself tells better.
+// wait blocks until SIGTERM or SIGINT, then stops the process and returns its exit code.
+// SIGHUP, which reports a changed settings file, is only logged: of the settings only the
+// seeds change while a process runs, and the control group itself supplies more accurate
+// addresses.
 func (r *routed) wait() int {
 	sig := make(chan os.Signal, 2)
 	signal.Notify(sig, syscall.SIGTERM, syscall.SIGINT, syscall.SIGHUP)
@@ -216,10 +220,10 @@
 	if err := r.stop(context.Background()); err != nil {
 		code = exitFailed
 	}
-	ctx, cancel := context.WithTimeout(context.Background(), logClose)
+	ctx, cancel := context.WithTimeout(context.Background(), closeTimeout)
 	defer cancel()
 	for _, app := range r.apps {
-		_ = app.ShutdownWithContext(ctx) // the process ends next
+		_ = app.ShutdownWithContext(ctx) // the process exits next
 	}
 	_ = r.ops.Close(ctx)
 	return code
--- a/cmd/almondseam/routed_test.go
+++ b/cmd/almondseam/routed_test.go
@@ -11,8 +11,8 @@
 	qt "github.com/frankban/quicktest"
 )
 
-// A process on the platform whose settings can't be used ends with exit code 2 and
-// the name of what is wrong, so that nobody starts it again as it is.
+// If its settings are unusable, a process on the users' platform must end with exit code
+// 2, so that it is not restarted, and the message must name the wrong setting.
 func TestRoutedNamesWhatIsWrongWithItsSettings(t *testing.T) {
 	data, err := os.ReadFile("testdata/without-listen.yaml")
 	qt.New(t).Assert(err, qt.IsNil)
--- a/cmd/almondseam/run.go
+++ b/cmd/almondseam/run.go
@@ -34,7 +34,7 @@
 The first SIGTERM or SIGINT drains the process: no request in progress is cut
 off. The second stops it hard.`
 
-// runCommand is `almondseam run`.
+// runCommand holds the settings of `almondseam run`.
 type runCommand struct {
 	cmd *kingpin.CmdClause
 	set settings
@@ -62,13 +62,13 @@
 	return n.wait()
 }
 
-// usageError marks a start that failed for a setting's sake.
+// usageError is a startup error that is caused by a wrong setting.
 type usageError struct{ err error }
 
 func (e *usageError) Error() string { return e.err.Error() }
 func (e *usageError) Unwrap() error { return e.err }
 
-// failed logs why a process did not start and gives its exit code.
+// failed logs the reason why a process did not start and returns its exit code.
 func (s streams) failed(log *zerolog.Logger, err error) int {
 	events.ProcessFailed.Log(log).Err(err).Send()
 	var usage *usageError
@@ -78,7 +78,7 @@
 	return exitFailed
 }
 
-// role is a running role of a process.
+// role is a part of a process that is started and stopped as a unit.
 type role interface {
 	Start()
 	Stop(ctx context.Context) error
@@ -93,17 +93,20 @@
 	entry   *process.Entry
 	agent   *process.Agent
 	control *process.Control
-	live    *fleetconfig.Live
-	// agentLive is the configuration that an agent here was given.
+	// live is the configuration of the entry, nil without an entry.
+	live *fleetconfig.Live
+	// agentLive is the configuration that the agent receives from its entries, nil
+	// if it receives none.
 	agentLive *fleetconfig.Live
 	ops       *ops.Server
-	// started is set once roles and what belongs to them stand: the operations
-	// port answers before, on goroutines of its own.
-	started atomic.Bool
-	leaving atomic.Bool // told to stop
-	work    conc.WaitGroup
-	// atStop runs after the roles have stopped.
-	atStop []func()
+	// started is set once the fields above are complete and all roles have been
+	// started. The operations server already answers before that, on its own
+	// goroutines, so ready must not read these fields earlier.
+	started  atomic.Bool
+	stopping atomic.Bool // set once the process has been told to stop
+	work     conc.WaitGroup
+	// cleanups are called after the roles have stopped.
+	cleanups []func()
 }
 
 func (n *node) start() error {
@@ -144,12 +147,12 @@
 	return nil
 }
 
-// ready tells what is missing before the process can serve.
+// ready reports whether the process can serve and, if not, what is missing.
 func (n *node) ready() (bool, string) {
 	if !n.started.Load() {
 		return false, "the process is starting"
 	}
-	if n.leaving.Load() {
+	if n.stopping.Load() {
 		return false, "the process is stopping"
 	}
 	if n.live != nil && n.live.Load() == nil {
@@ -168,28 +171,28 @@
 }
 
 func (n *node) addEntry() error {
-	cln, err := listen("listen", n.set.callers)
+	callerListener, err := listen("listen", n.set.callers)
 	if err != nil {
 		return err
 	}
-	lln, err := listen("link-listen", n.set.links)
+	linkListener, err := listen("link-listen", n.set.links)
 	if err != nil {
 		return err
 	}
 	ports := process.EntryPorts{Metrics: n.metrics, Log: n.log}
-	var coupling *process.EntryControl
-	if len(n.set.members) > 0 {
-		coupling = process.NewEntryControl(process.ControlLinkSettings{
+	var entryControl *process.EntryControl
+	if len(n.set.controlMembers) > 0 {
+		entryControl = process.NewEntryControl(process.ControlLinkSettings{
 			Instance: api.InstanceID(n.set.instance),
 			Zone:     n.set.zoneID(),
 			Key:      []byte(n.set.key),
-			Seeds:    n.set.members,
-			Links:    n.set.linkAddress(lln),
+			Seeds:    n.set.controlMembers,
+			Links:    n.set.linkAddress(linkListener),
 		}, n.metrics, n.log)
-		n.roles = append(n.roles, coupling)
-		ports.Live, ports.Hub, ports.Claimer = coupling.Live(), coupling.Hub(), coupling.Claimer()
+		n.roles = append(n.roles, entryControl)
+		ports.Live, ports.Hub, ports.Claimer = entryControl.Live(), entryControl.Hub(), entryControl.Claimer()
 	} else {
-		snap, err := loadConfig(n.set.conf, api.Site(n.set.site))
+		snap, err := loadConfig(n.set.configFiles, api.Site(n.set.site))
 		if err != nil {
 			return &usageError{fmt.Errorf("--config: %w", err)}
 		}
@@ -200,13 +203,13 @@
 		Instance: api.InstanceID(n.set.instance),
 		Zone:     n.set.zoneID(),
 		Key:      []byte(n.set.key),
-		Callers:  cln,
-		Links:    lln,
+		Callers:  callerListener,
+		Links:    linkListener,
 		Peers:    n.set.peers(),
 	}, ports)
 	n.live = ports.Live
-	if coupling != nil {
-		coupling.Couple(n.entry)
+	if entryControl != nil {
+		entryControl.Couple(n.entry)
 	}
 	n.roles = append(n.roles, n.entry)
 	return nil
@@ -228,9 +231,9 @@
 		Key:          []byte(n.set.key),
 		Seeds:        n.set.seeds,
 		Target:       api.TargetID(n.set.target),
-		TargetAddr:   n.set.address,
-		Models:       convert[api.ModelID](n.set.models),
-		Services:     convert[api.ServiceID](n.set.services),
+		TargetAddr:   n.set.targetAddress,
+		Models:       convertStrings[api.ModelID](n.set.models),
+		Services:     convertStrings[api.ServiceID](n.set.services),
 		Links:        n.set.linkCount,
 		Capacity:     n.set.capacity,
 		MaxRunning:   n.set.batch,
@@ -240,8 +243,9 @@
 	}, process.AgentPorts{Live: n.agentLive, Config: n.configObserver(), Metrics: n.metrics, Log: n.log})
 }
 
-// configObserver counts what becomes of configurations at an agent. In a
-// process that is an entry too, the entry's part counts.
+// configObserver returns the observer of the agent's configuration. It returns nil in a
+// process that is also an entry: an entry with a control group registers the same
+// metrics, which then cover the entry alone.
 func (n *node) configObserver() rollout.Observer {
 	if n.set.has(roleEntry) {
 		return nil
@@ -249,7 +253,9 @@
 	return rollout.NewMetrics(n.metrics.Registry, n.log)
 }
 
-// wait runs until a signal and then drains every role, the first started last.
+// wait blocks until a signal arrives, the entry fails or the control member has stopped,
+// and returns the exit code. Except after a failure of the entry, it first drains the
+// roles in the reverse order of their start. A second signal ends the drain.
 func (n *node) wait() int {
 	sig := make(chan os.Signal, 2)
 	signal.Notify(sig, syscall.SIGTERM, syscall.SIGINT)
@@ -268,11 +274,12 @@
 		events.ProcessFailed.Log(n.log).Err(err).Send()
 		return exitFailed
 	case <-ended:
-		// The disk failed. An entry in the same process drains as usual: its
-		// callers need not suffer for the member's disk.
+		// The member stopped after a failure, such as that of its disk. An entry in
+		// the same process drains as usual, because the failure does not concern its
+		// callers.
 		code = exitFailed
 	}
-	ctx, cancel := context.WithTimeout(context.Background(), n.drain())
+	ctx, cancel := context.WithTimeout(context.Background(), n.drainTimeout())
 	defer cancel()
 	go func() {
 		<-sig
@@ -282,11 +289,11 @@
 	return max(code, n.stop(ctx))
 }
 
-// leaveBalancer goes on serving with /readyz at 503. Without the wait the callers'
-// port would close while the balancer still sends callers there, and each of them
-// would be refused a connection by an orderly stop.
+// leaveBalancer makes /readyz return 503. An entry then serves for the drain delay as
+// before. Without this wait its port for callers would close while the load balancer still
+// sends callers there, and a graceful stop would refuse their connections.
 func (n *node) leaveBalancer(ctx context.Context) {
-	n.leaving.Store(true)
+	n.stopping.Store(true)
 	if n.entry == nil || n.set.drainDelay <= 0 {
 		return
 	}
@@ -298,10 +305,12 @@
 	}
 }
 
-// drain is how long a graceful stop that begins now may wait.
-func (n *node) drain() time.Duration {
+// drainTimeout returns how long a graceful stop that begins now may take: the value of
+// --drain if it was given, else that of the configuration in force, else the default of
+// --drain.
+func (n *node) drainTimeout() time.Duration {
 	if n.set.drainGiven {
-		return n.set.drain
+		return n.set.drainTimeout
 	}
 	for _, live := range []*fleetconfig.Live{n.live, n.agentLive} {
 		if live == nil {
@@ -311,12 +320,13 @@
 			return conf.Limits().Drain
 		}
 	}
-	return n.set.drain
+	return n.set.drainTimeout
 }
 
-// stopNow drains within the process's limit, without a signal.
-func (n *node) stopNow() int {
-	ctx, cancel := context.WithTimeout(context.Background(), n.drain())
+// drainAndStop drains the roles at once, within the drain timeout, and returns the exit
+// code.
+func (n *node) drainAndStop() int {
+	ctx, cancel := context.WithTimeout(context.Background(), n.drainTimeout())
 	defer cancel()
 	return n.stop(ctx)
 }
@@ -328,7 +338,7 @@
 			code = exitFailed
 		}
 	}
-	for _, f := range n.atStop {
+	for _, f := range n.cleanups {
 		f()
 	}
 	_ = n.ops.Close(ctx)
@@ -336,25 +346,25 @@
 	return code
 }
 
-// loadConfig reads the base file and at most one overlay.
+// loadConfig compiles the base file and at most one overlay.
 func loadConfig(files []string, site api.Site) (*fleetconfig.Snapshot, error) {
-	read := make([]fleetconfig.File, len(files))
+	contents := make([]fleetconfig.File, len(files))
 	for i, name := range files {
 		data, err := os.ReadFile(name)
 		if err != nil {
 			return nil, err
 		}
-		read[i] = fleetconfig.File{Name: name, Data: data}
+		contents[i] = fleetconfig.File{Name: name, Data: data}
 	}
-	switch len(read) {
+	switch len(contents) {
 	case 1:
-		f, err := fleetconfig.Parse(read[0])
+		f, err := fleetconfig.Parse(contents[0])
 		if err != nil {
 			return nil, err
 		}
 		return fleetconfig.Compile(f).At(localRevision, site), nil
 	case 2:
-		f, _, err := fleetconfig.Merge(read[0], read[1])
+		f, _, err := fleetconfig.Merge(contents[0], contents[1])
 		if err != nil {
 			return nil, err
 		}
@@ -363,5 +373,5 @@
 	return nil, errors.New("give the base file and at most one overlay")
 }
 
-// localRevision marks a configuration that comes from files.
+// localRevision is the revision of a configuration that is read from files.
 const localRevision api.Revision = 1
--- a/cmd/almondseam/solo.go
+++ b/cmd/almondseam/solo.go
@@ -28,7 +28,7 @@
 It asks for one generation, shows its tokens as they come, and then stays up
 for curl until it is interrupted.`
 
-// soloCommand is `almondseam solo`.
+// soloCommand holds the flags of `almondseam solo`.
 type soloCommand struct {
 	cmd    *kingpin.CmdClause
 	listen string
@@ -47,8 +47,8 @@
 	return c
 }
 
-// What solo is set up with. The key is no secret: it opens a stand-in on
-// loopback.
+// The settings of solo. The keys and the token are not secret: they only give access to a
+// stand-in engine and a temporary control group, by default on loopback.
 const (
 	soloKey      = "sk-solo"
 	soloModel    = "standin"
@@ -67,7 +67,7 @@
 
 func (c *soloCommand) execute(out streams) int {
 	log := zerolog.New(zerolog.ConsoleWriter{Out: out.err, NoColor: true}).Level(zerolog.WarnLevel).With().Timestamp().Logger()
-	n := &node{set: &settings{drain: 10 * time.Second, drainGiven: true, ops: "127.0.0.1:0"}, log: &log, metrics: metrics.New(&log)}
+	n := &node{set: &settings{drainTimeout: 10 * time.Second, drainGiven: true, ops: "127.0.0.1:0"}, log: &log, metrics: metrics.New(&log)}
 	addr, err := c.start(n)
 	var usage *usageError
 	if errors.As(err, &usage) {
@@ -83,7 +83,7 @@
 		return exitFailed
 	}
 	if c.once {
-		return n.stopNow()
+		return n.drainAndStop()
 	}
 	fmt.Fprintf(out.out, soloHint, addr, soloKey, soloModel, c.operators, soloToken)
 	return n.wait()
@@ -101,13 +101,13 @@
 	if err := n.startOps(); err != nil {
 		return "", err
 	}
-	eln, err := net.Listen("tcp", "127.0.0.1:0")
+	engineListener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		return "", err
 	}
 	engine := standin.NewServer(standin.Config{Model: soloModel}, standin.Options{})
-	n.work.Go(func() { _ = engine.Serve(eln) })
-	n.atStop = append(n.atStop, func() { _ = engine.Close() })
+	n.work.Go(func() { _ = engine.Serve(engineListener) })
+	n.cleanups = append(n.cleanups, func() { _ = engine.Close() })
 	callers, err := listen("listen", c.listen)
 	if err != nil {
 		return "", err
@@ -116,37 +116,37 @@
 	if err != nil {
 		return "", err
 	}
-	coupling, err := c.startControl(n)
+	entryControl, err := c.startControl(n)
 	if err != nil {
 		return "", err
 	}
-	n.live = coupling.Live()
+	n.live = entryControl.Live()
 	n.entry = process.NewEntry(process.EntrySettings{
 		Instance: "solo", Zone: "solo-a", Key: []byte(soloFleetKey), Callers: callers, Links: links,
-	}, process.EntryPorts{Live: n.live, Hub: coupling.Hub(), Claimer: coupling.Claimer(), Metrics: n.metrics, Log: n.log})
-	coupling.Couple(n.entry)
-	ag := process.NewAgent(process.AgentSettings{
+	}, process.EntryPorts{Live: n.live, Hub: entryControl.Hub(), Claimer: entryControl.Claimer(), Metrics: n.metrics, Log: n.log})
+	entryControl.Couple(n.entry)
+	agent := process.NewAgent(process.AgentSettings{
 		Instance: "solo", Zone: "solo-a", Key: []byte(soloFleetKey), Seeds: []string{links.Addr().String()},
-		Target: "solo-engine", TargetAddr: eln.Addr().String(), Models: []api.ModelID{soloModel},
+		Target: "solo-engine", TargetAddr: engineListener.Addr().String(), Models: []api.ModelID{soloModel},
 	}, process.AgentPorts{Metrics: n.metrics, Log: n.log})
-	n.roles = append(n.roles, coupling, n.entry, ag)
+	n.roles = append(n.roles, entryControl, n.entry, agent)
 	for _, r := range n.roles {
 		r.Start()
 	}
 	n.started.Store(true)
-	return callers.Addr().String(), n.waitTarget()
+	return callers.Addr().String(), n.waitServing()
 }
 
-const soloStart = 5 * time.Second
+const soloStartTimeout = 5 * time.Second
 
-// startControl starts a control group of one in a temporary folder and gives it
-// solo's configuration.
+// startControl starts a control group of one member in a temporary folder and sets solo's
+// configuration. It returns the entry's connection to that group.
 func (c *soloCommand) startControl(n *node) (*process.EntryControl, error) {
 	dir, err := os.MkdirTemp("", "almondseam-solo-")
 	if err != nil {
 		return nil, err
 	}
-	n.atStop = append(n.atStop, func() { _ = os.RemoveAll(dir) })
+	n.cleanups = append(n.cleanups, func() { _ = os.RemoveAll(dir) })
 	links, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		return nil, err
@@ -182,23 +182,23 @@
 	if err != nil {
 		return err
 	}
-	ctx, cancel := context.WithTimeout(context.Background(), soloStart)
+	ctx, cancel := context.WithTimeout(context.Background(), soloStartTimeout)
 	defer cancel()
 	return member.Configure(ctx, state.ConfigPut{ChangeID: "solo", Author: "solo", Document: b})
 }
 
-// waitTarget returns when the first target is linked and a configuration is in
-// force.
-func (n *node) waitTarget() error {
-	for end := time.Now().Add(soloStart); time.Now().Before(end); time.Sleep(10 * time.Millisecond) {
+// waitServing waits until a target is linked and a configuration is in force. It returns
+// an error if that takes longer than soloStartTimeout.
+func (n *node) waitServing() error {
+	for deadline := time.Now().Add(soloStartTimeout); time.Now().Before(deadline); time.Sleep(10 * time.Millisecond) {
 		if n.entry.Targets() > 0 && n.live.Load() != nil {
 			return nil
 		}
 	}
-	return fmt.Errorf("no target was linked within %s", soloStart)
+	return fmt.Errorf("no target was linked within %s", soloStartTimeout)
 }
 
-// firstGeneration asks for a generation as a caller does and shows it.
+// firstGeneration sends a generation request as a caller does and prints its tokens.
 func (c *soloCommand) firstGeneration(out streams, addr string) error {
 	body, err := json.Marshal(map[string]any{
 		"model": soloModel, "stream": true, "x_output_tokens": c.tokens,
