--- a/node/wire/codec.go
+++ b/node/wire/codec.go
@@ -1,7 +1,10 @@
-// Package wire defines the messages between this system's processes and their
-// encoding: each message is its kind as a CBOR unsigned integer followed by its
+// Package wire defines messages between this system's processes and their
+// encoding: the kind of the message as a CBOR unsigned integer, followed by its
 // body as a CBOR map with integer keys. Unknown keys are ignored, so that
-// processes of neighbouring versions understand each other.
+// processes of adjacent versions understand each other.
+//
+// An entry is the process that accepts callers' requests, and an agent is the
+// process beside a target that runs them there.
 package wire
 
 import (
@@ -13,7 +16,8 @@
 	"github.com/fxamacker/cbor/v2"
 )
 
-// Bounds of decoding. A peer that exceeds one loses its link, never the process.
+// Decoding bounds. A message that exceeds one is rejected with an error, so that a
+// faulty peer loses its link but can't exhaust the memory of this process.
 const (
 	maxNesting  = 8
 	maxElements = 1 << 16
@@ -22,23 +26,24 @@
 // ErrUnknownKind reports a message kind that this process has no type for.
 var ErrUnknownKind = errors.New("wire: unknown message kind")
 
-// Kind numbers a message type. The numbers are part of the protocol.
+// Kind is the number of a message type. The numbers are part of the protocol.
 type Kind uint64
 
-// Message is anything that travels on a link.
+// Message is implemented by every type that is sent on a link.
 type Message interface {
-	// Kind gives the number of the message's type.
+	// Kind returns the number of the message type.
 	Kind() Kind
 }
 
-// Proto couples a kind with its decoder. Make one with ProtoOf.
+// Proto is the prototype of a message type: its kind and its decoder. Use ProtoOf
+// to create one.
 type Proto struct {
 	kind   Kind
 	decode func(dm cbor.DecMode, data []byte) (Message, []byte, error)
 }
 
-// ProtoOf gives the prototype of message type T, whose Kind method must work
-// on its zero value.
+// ProtoOf returns the prototype of message type T, whose Kind method must work
+// on the zero value.
 func ProtoOf[T any, P interface {
 	*T
 	Message
@@ -53,16 +58,16 @@
 	}
 }
 
-// Codec encodes and decodes the message types it was made with. It is safe for
-// concurrent use.
+// Codec encodes messages, and decodes those of the types passed to NewCodec. It is
+// safe for concurrent use.
 type Codec struct {
 	enc    cbor.EncMode
 	dec    cbor.DecMode
 	protos map[Kind]Proto
 }
 
-// NewCodec makes a codec for the given types. It panics on two types with one
-// kind, which is a mistake in the program.
+// NewCodec returns a codec that decodes the given types. It panics if two of them
+// have the same kind, which is a programming error.
 func NewCodec(protos ...Proto) *Codec {
 	c := &Codec{
 		enc:    codec.Encoder(),
@@ -70,7 +75,7 @@
 		protos: make(map[Kind]Proto, len(protos)),
 	}
 	for _, p := range protos {
-		if _, twice := c.protos[p.kind]; twice {
+		if _, exists := c.protos[p.kind]; exists {
 			panic(fmt.Sprintf("wire: kind %d registered twice", p.kind))
 		}
 		c.protos[p.kind] = p
@@ -78,26 +83,26 @@
 	return c
 }
 
-// Memo keeps the encoding of a message that goes to many links, so that it is made once.
-// A message type embeds it with the tag `cbor:"-"`; its messages must not change after
-// they were first sent.
+// Memo caches the encoding of a message that is sent on many links, so that the message
+// is encoded only once. A message type embeds it with the tag `cbor:"-"`; its messages
+// must not be modified after they were first sent.
 type Memo struct {
 	once sync.Once
 	body []byte
 	err  error
 }
 
-func (m *Memo) encoded(make func() ([]byte, error)) ([]byte, error) {
-	m.once.Do(func() { m.body, m.err = make() })
+func (m *Memo) encoded(encode func() ([]byte, error)) ([]byte, error) {
+	m.once.Do(func() { m.body, m.err = encode() })
 	return m.body, m.err
 }
 
-// memoized is a message with a Memo.
+// memoized is implemented by message types that embed a Memo.
 type memoized interface {
-	encoded(make func() ([]byte, error)) ([]byte, error)
+	encoded(encode func() ([]byte, error)) ([]byte, error)
 }
 
-// Append encodes m onto dst.
+// Append appends the encoding of m to dst.
 func (c *Codec) Append(dst []byte, m Message) ([]byte, error) {
 	dst = appendUint(dst, uint64(m.Kind()))
 	body, err := c.body(m)
@@ -115,7 +120,7 @@
 	return marshal()
 }
 
-// Decode splits the first message off data.
+// Decode decodes the first message in data and returns it with the rest of data.
 func (c *Codec) Decode(data []byte) (Message, []byte, error) {
 	var kind uint64
 	rest, err := c.dec.UnmarshalFirst(data, &kind)
@@ -133,7 +138,8 @@
 	return m, rest, nil
 }
 
-// appendUint encodes v as a CBOR unsigned integer (RFC 8949, section 3.1).
+// appendUint appends v as a CBOR unsigned integer (RFC 8949, section 3.1). v must be
+// less than 1<<16.
 func appendUint(dst []byte, v uint64) []byte {
 	switch {
 	case v < 24:
--- a/node/wire/drain.go
+++ b/node/wire/drain.go
@@ -2,12 +2,12 @@
 
 import "almondseam.dev/core/api"
 
-// KindDrain is the kind of Drain.
+// KindDrain is the message kind of Drain.
 const KindDrain Kind = 40
 
-// Drain passes an operator's wish on to an agent: its target is to leave. It
-// holds for one incarnation and isn't taken back; a target that is wanted again
-// comes back with its agent's next start.
+// Drain tells an agent that an operator drains its target: the target leaves the
+// fleet. Drain applies to one incarnation of the agent and can't be revoked; the
+// target can only return with the next start of its agent.
 type Drain struct {
 	Incarnation api.Incarnation `cbor:"1,keyasint"`
 }
--- a/node/wire/kinds.go
+++ b/node/wire/kinds.go
@@ -54,7 +54,7 @@
 // Kind implements Message.
 func (*Pace) Kind() Kind { return KindPace }
 
-// PathProtos lists the messages between entries and agents.
+// PathProtos returns the prototypes of the messages between entries and agents.
 func PathProtos() []Proto {
 	return []Proto{
 		ProtoOf[Announce](),
--- a/node/wire/limits.go
+++ b/node/wire/limits.go
@@ -7,13 +7,14 @@
 	"almondseam.dev/core/limit"
 )
 
-// Kinds of the links between entries.
+// Kinds of the messages between entries.
 const (
 	KindLimitRequest Kind = iota + 48
 	KindLimitGrant
 )
 
-// LimitRequest carries a limit.Request to the entry that owns the customers.
+// LimitRequest carries a limit.Request to the entry that grants the limits of the
+// customers in it.
 type LimitRequest struct {
 	Epoch       uint64          `cbor:"1,keyasint"`
 	Holder      api.InstanceID  `cbor:"2,keyasint"`
@@ -58,12 +59,12 @@
 // Kind implements Message.
 func (*LimitGrant) Kind() Kind { return KindLimitGrant }
 
-// LimitProtos lists the messages between entries.
+// LimitProtos returns the prototypes of the messages between entries.
 func LimitProtos() []Proto {
 	return []Proto{ProtoOf[LimitRequest](), ProtoOf[LimitGrant]()}
 }
 
-// NewLimitRequest gives the message of r.
+// NewLimitRequest returns the message that carries r.
 func NewLimitRequest(r limit.Request) *LimitRequest {
 	m := &LimitRequest{Epoch: r.Epoch, Holder: r.Holder, Incarnation: r.Incarnation, Seq: r.Seq}
 	for _, w := range r.Wants {
@@ -75,7 +76,7 @@
 	return m
 }
 
-// Request gives what m carries.
+// Request returns the limit.Request that m carries.
 func (m *LimitRequest) Request() limit.Request {
 	r := limit.Request{Epoch: m.Epoch, Holder: m.Holder, Incarnation: m.Incarnation, Seq: m.Seq}
 	for _, w := range m.Wants {
@@ -87,7 +88,7 @@
 	return r
 }
 
-// NewLimitGrant gives the message of g.
+// NewLimitGrant returns the message that carries g.
 func NewLimitGrant(g limit.Grant) *LimitGrant {
 	m := &LimitGrant{
 		Epoch: g.Epoch, Grantor: g.Grantor, Holder: g.Holder,
@@ -99,7 +100,7 @@
 	return m
 }
 
-// Grant gives what m carries.
+// Grant returns the limit.Grant that m carries.
 func (m *LimitGrant) Grant() limit.Grant {
 	g := limit.Grant{
 		Epoch: m.Epoch, Grantor: m.Grantor, Holder: m.Holder,
--- a/node/wire/memo_test.go
+++ b/node/wire/memo_test.go
@@ -6,27 +6,28 @@
 	qt "github.com/frankban/quicktest"
 )
 
-const kindNews Kind = 7
+const kindCounted Kind = 7
 
-// news counts how often it is encoded.
-type news struct {
+// countedMessage counts how often it is encoded.
+type countedMessage struct {
 	Memo     `cbor:"-"`
 	marshals *int
 }
 
-func (*news) Kind() Kind { return kindNews }
+func (*countedMessage) Kind() Kind { return kindCounted }
 
-func (n *news) MarshalCBOR() ([]byte, error) {
-	*n.marshals++
+func (m *countedMessage) MarshalCBOR() ([]byte, error) {
+	*m.marshals++
 	return []byte{0xa0}, nil
 }
 
-// TestMessageToManyLinksIsEncodedOnce guards against a member whose work grows with the
-// square of the fleet: it tells each entry what all entries report.
+// TestMessageToManyLinksIsEncodedOnce guards against a member of the control group whose
+// work grows with the square of the number of entries. The member sends the reports of
+// all entries to each entry; it must encode them once, not once for each link.
 func TestMessageToManyLinksIsEncodedOnce(t *testing.T) {
 	c := qt.New(t)
 	codec, count := NewCodec(), 0
-	m := &news{marshals: &count}
+	m := &countedMessage{marshals: &count}
 	first, err := codec.Append(nil, m)
 	c.Assert(err, qt.IsNil)
 	second, err := codec.Append([]byte{1}, m)
--- a/node/wire/order.go
+++ b/node/wire/order.go
@@ -7,23 +7,25 @@
 	"almondseam.dev/core/order"
 )
 
-// The kinds of orders.
+// Kinds of the messages about orders.
 const (
 	KindOrder Kind = iota + 41
 	KindOrderState
 )
 
-// Order hands an agent the order that was issued to its incarnation. Echo is a
-// reading of the agent's own clock from before the order was asked for; Lease
-// counts from there.
+// Order sends an agent the order that was issued to its incarnation, or renews the
+// lease of that order. Echo is a reading of the agent's own monotonic clock that the
+// entry received before it requested the order or the renewal from the control group.
+// Lease is measured from Echo, so that it ends at the agent no later than at the
+// control group.
 type Order struct {
 	Order order.Order   `cbor:"1,keyasint"`
 	Lease time.Duration `cbor:"2,keyasint"`
 	Echo  time.Duration `cbor:"3,keyasint"`
 }
 
-// OrderState tells how the order with the fence stands: running, which renews
-// its lease, or ended.
+// OrderState reports the state of the order with the given Fence. While Ended is
+// false, the order is running and the report requests a renewal of its lease.
 type OrderState struct {
 	Fence   api.Fence `cbor:"1,keyasint"`
 	Ended   bool      `cbor:"2,keyasint,omitempty"`
