--- a/node/callers/auth.go
+++ b/node/callers/auth.go
@@ -9,46 +9,50 @@
 	"github.com/oklog/ulid/v2"
 )
 
-// caller is who asks, under which configuration. The configuration is the one
-// in force when the request came; the request keeps it to its end.
-type caller struct {
+// callerInfo holds the request ID and the customer of a request, and the configuration
+// that was in force when the request arrived. The request uses this configuration until
+// it ends.
+type callerInfo struct {
 	conf     *fleetconfig.Snapshot
 	customer *fleetconfig.Customer
 	id       api.RequestID
 }
 
-const bearer = "Bearer "
+const bearerPrefix = "Bearer "
 
-// admit finds the customer of a request.
-func (s *Server) admit(c fiber.Ctx) (*caller, *api.Error) {
-	who := &caller{id: api.RequestID(ulid.Make().String())}
-	c.Set(HeaderRequestID, string(who.id))
-	c.Set(headerXRequestID, string(who.id))
+// admit assigns a request ID and authenticates the request. It rejects the request if
+// the entry is draining, the connection exceeds the limit, no configuration is in force
+// or the API key is unknown. The returned callerInfo is never nil.
+func (s *Server) admit(c fiber.Ctx) (*callerInfo, *api.Error) {
+	caller := &callerInfo{id: api.RequestID(ulid.Make().String())}
+	c.Set(HeaderRequestID, string(caller.id))
+	c.Set(headerXRequestID, string(caller.id))
 	if s.draining.Load() {
-		return who, refusal(api.StepParse, api.ReasonShuttingDown, "this entry is shutting down")
+		return caller, refusal(api.StepParse, api.ReasonShuttingDown, "this entry is shutting down")
 	}
-	if err := beyond(c.RequestCtx().Conn()); err != nil {
+	if err := connectionRefusal(c.RequestCtx().Conn()); err != nil {
 		c.RequestCtx().SetConnectionClose()
-		return who, err
+		return caller, err
 	}
-	who.conf = s.live.Load()
-	if who.conf == nil {
-		return who, refusal(api.StepConfig, api.ReasonNoConfig, "no configuration is in force yet")
+	caller.conf = s.live.Load()
+	if caller.conf == nil {
+		return caller, refusal(api.StepConfig, api.ReasonNoConfig, "no configuration is in force yet")
 	}
-	key, ok := strings.CutPrefix(c.Get(fiber.HeaderAuthorization), bearer)
+	key, ok := strings.CutPrefix(c.Get(fiber.HeaderAuthorization), bearerPrefix)
 	if !ok {
-		return who, refusal(api.StepAuth, api.ReasonUnauthenticated, "an API key is expected: Authorization: Bearer KEY")
+		return caller, refusal(api.StepAuth, api.ReasonUnauthenticated, "an API key is expected: Authorization: Bearer KEY")
 	}
-	who.customer, ok = who.conf.CustomerByKey(key)
+	caller.customer, ok = caller.conf.CustomerByKey(key)
 	if !ok {
-		return who, refusal(api.StepAuth, api.ReasonUnauthenticated, "the API key is not known")
+		return caller, refusal(api.StepAuth, api.ReasonUnauthenticated, "the API key is not known")
 	}
-	return who, nil
+	return caller, nil
 }
 
-func (w *caller) customerID() api.CustomerID {
-	if w.customer == nil {
+// customerID returns the customer, or "" if the request was not authenticated.
+func (c *callerInfo) customerID() api.CustomerID {
+	if c.customer == nil {
 		return ""
 	}
-	return w.customer.ID
+	return c.customer.ID
 }
--- a/node/callers/body.go
+++ b/node/callers/body.go
@@ -11,55 +11,59 @@
 	"almondseam.dev/node/entry"
 )
 
-// errCut makes the HTTP library close the connection without the last chunk.
-var errCut = errors.New("callers: answer cut short")
-
-// feed reads an answer for one caller and settles its account at the end.
-type feed struct {
-	ans    *entry.Answer
-	keep   time.Duration
-	hold   time.Duration
-	settle func(tokens int)
-	prompt int
-	gone   func() bool
-	items  int
-	ended  bool
-	notRun bool
-	closed bool
-}
-
-// goneEvery is the pace at which a quiet connection is looked at.
-const goneEvery = 250 * time.Millisecond
-
-// next waits for an event, looking now and then whether the caller is still
-// there: the HTTP library notices only when a write fails, and until then a
-// caller that has hung up would go on occupying a crowded engine.
-func (f *feed) next(wait time.Duration) entry.Event {
+// errTruncated makes the HTTP library close the connection without sending the last
+// chunk of the body.
+var errTruncated = errors.New("callers: answer cut short")
+
+// answerReader reads the events of an answer for one caller. Close reports the number
+// of tokens used to the limiter.
+type answerReader struct {
+	answer       *entry.Answer
+	keepAlive    time.Duration
+	hold         time.Duration
+	settle       func(tokens int)
+	promptTokens int
+	callerGone   func() bool
+	items        int
+	ended        bool
+	notRun       bool
+	closed       bool
+}
+
+// callerCheckInterval is the interval at which answerReader checks whether the caller
+// has disconnected while no event arrives.
+const callerCheckInterval = 250 * time.Millisecond
+
+// next waits for an event. Meanwhile it checks periodically whether the caller is still
+// connected, and cancels the request if it is not: the HTTP library notices a
+// disconnect only when a write fails, and until then the request would keep occupying
+// an engine that may be overloaded.
+func (r *answerReader) next(wait time.Duration) entry.Event {
 	deadline := time.Now().Add(wait)
 	for {
 		left := time.Until(deadline)
-		e := f.ans.Next(min(max(left, 0), goneEvery))
+		e := r.answer.Next(min(max(left, 0), callerCheckInterval))
 		if e.Kind != entry.EventIdle {
-			f.items += e.N
-			f.note(e)
+			r.items += e.N
+			r.recordEnd(e)
 			return e
 		}
-		if f.gone() {
-			f.ans.Cancel(f.hold)
+		if r.callerGone() {
+			r.answer.Cancel(r.hold)
 		}
-		if left <= goneEvery {
+		if left <= callerCheckInterval {
 			return e
 		}
 	}
 }
 
-// early gives the events up to the first that carries a part of the answer or its
-// end; or those of the first wait, with EventIdle last.
-func (f *feed) early(wait time.Duration) []entry.Event {
+// firstEvents returns the events up to the first one that is not a change of phase: a
+// part of the answer, its end, or EventIdle if none arrives within wait.
+func (r *answerReader) firstEvents(wait time.Duration) []entry.Event {
 	deadline := time.Now().Add(wait)
 	var out []entry.Event
 	for {
-		e := f.next(time.Until(deadline))
+		e := r.next(time.Until(deadline))
 		out = append(out, e)
 		if e.Kind != entry.EventPhase {
 			return out
@@ -67,34 +71,38 @@
 	}
 }
 
-func (f *feed) note(e entry.Event) {
+// recordEnd notes the outcome if e is the end of the answer.
+func (r *answerReader) recordEnd(e entry.Event) {
 	if e.Kind == entry.EventEnd {
-		f.ended = true
-		f.notRun = e.End.Outcome == api.OutcomeNotRun
+		r.ended = true
+		r.notRun = e.End.Outcome == api.OutcomeNotRun
 	}
 }
 
-// Close ends the caller's part, whether the answer has ended or not.
-func (f *feed) Close() {
-	if f.closed {
+// Close reports the tokens used: those of the prompt and one for each item. It cancels
+// the request if the answer has not ended.
+func (r *answerReader) Close() {
+	if r.closed {
 		return
 	}
-	f.closed = true
-	if !f.ended {
-		f.ans.Cancel(f.hold)
+	r.closed = true
+	if !r.ended {
+		r.answer.Cancel(r.hold)
 	}
-	if f.notRun {
-		// Else callers who are refused in a crowded hour would use up their
-		// rate by it, and be told that they had asked for too much.
-		f.settle(0)
+	if r.notRun {
+		// A request that did not run costs no tokens. Otherwise requests that are
+		// refused under overload would use up the customer's rate, and the next
+		// ones would be refused as exceeding it.
+		r.settle(0)
 		return
 	}
-	f.settle(f.prompt + f.items)
+	r.settle(r.promptTokens + r.items)
 }
 
-// connGone tells whether a peer has closed its end, by a look at the socket
-// that takes nothing out of it.
-func connGone(conn net.Conn) func() bool {
+// peerClosedFunc returns a function that reports whether the peer of conn has closed
+// the connection. The function peeks at the socket without consuming data. It always
+// reports false if conn gives no access to its socket.
+func peerClosedFunc(conn net.Conn) func() bool {
 	sc, ok := conn.(syscall.Conn)
 	if !ok {
 		return func() bool { return false }
@@ -103,80 +111,85 @@
 	if err != nil {
 		return func() bool { return false }
 	}
-	return func() bool { return peekGone(raw) }
+	return func() bool { return peerClosed(raw) }
 }
 
-func peekGone(raw syscall.RawConn) bool {
-	gone := false
+// peerClosed reports whether the peer has closed the connection or the socket has
+// failed.
+func peerClosed(raw syscall.RawConn) bool {
+	closed := false
 	err := raw.Control(func(fd uintptr) {
 		var b [1]byte
 		n, _, err := syscall.Recvfrom(int(fd), b[:], syscall.MSG_PEEK|syscall.MSG_DONTWAIT)
 		wouldBlock := err == syscall.EAGAIN || err == syscall.EINTR
-		gone = n == 0 && err == nil || err != nil && !wouldBlock
+		closed = n == 0 && err == nil || err != nil && !wouldBlock
 	})
-	return err != nil || gone
+	return err != nil || closed
 }
 
-// renderer turns events into the bytes of a response body.
+// renderer converts events into the bytes of a response body.
 type renderer interface {
-	// render appends what e tells the caller.
+	// render appends to dst what the caller receives for e.
 	render(dst []byte, e entry.Event) ([]byte, error)
-	// end appends the last bytes. told is the end that the caller is given, which
-	// is another than e when a completed answer turns out not to be whole; cut
-	// tells to end the connection unfinished.
-	end(dst []byte, e entry.End) (out []byte, told entry.End, cut bool)
-}
-
-// body is a response body that the HTTP library reads on the connection's
-// goroutine: each Read becomes one chunk, written at once. Close is called after
-// the last write, or when a write has failed because the caller has gone.
-type body struct {
-	conn  net.Conn
-	write time.Duration // bound of one write
-	feed  *feed
-	r     renderer
-	// early are events that were taken before the body was opened.
-	early []entry.Event
-	out   []byte
-	at    int
-	last  error
-	// refused counts an end short of the whole answer that the caller is told; it
-	// may be nil. What ends after the caller has left is told to nobody.
-	refused func(api.Reason)
-	left    bool
-	// after runs what is left when the caller has gone early; nil cancels it.
-	after func(rest func())
+	// end appends the last bytes. reported is the end that the caller is told; it
+	// differs from e if an answer ended as completed but turns out to be incomplete.
+	// truncate requests that the connection be closed without completing the body.
+	end(dst []byte, e entry.End) (out []byte, reported entry.End, truncate bool)
+}
+
+// responseBody is the response body that the HTTP library reads on the connection's
+// goroutine. The library sends the result of each Read at once as one chunk. It calls
+// Close after the last write, or when a write has failed because the caller has
+// disconnected.
+type responseBody struct {
+	conn         net.Conn
+	writeTimeout time.Duration // for one write
+	answerReader *answerReader
+	format       renderer
+	// firstEvents holds the events that were read before the response body was created.
+	firstEvents []entry.Event
+	out         []byte
+	pos         int
+	readErr     error
+	// onRefused is called if the caller is told that the answer ended incomplete; it
+	// may be nil. It is not called if the answer ends after the caller has
+	// disconnected.
+	onRefused  func(api.Reason)
+	callerLeft bool
+	// runInBackground runs the reading of the remaining answer if the caller
+	// disconnects before its end. If it is nil, the request is cancelled then.
+	runInBackground func(rest func())
 }
 
 // Read implements io.Reader.
-func (b *body) Read(p []byte) (int, error) {
-	for b.at == len(b.out) {
-		if b.last != nil {
-			return 0, b.last
+func (b *responseBody) Read(p []byte) (int, error) {
+	for b.pos == len(b.out) {
+		if b.readErr != nil {
+			return 0, b.readErr
 		}
 		b.fill()
 	}
-	n := copy(p, b.out[b.at:])
-	b.at += n
-	b.allowWrite()
+	n := copy(p, b.out[b.pos:])
+	b.pos += n
+	b.extendWriteDeadline()
 	return n, nil
 }
 
-// allowWrite gives the write that follows its own time. The HTTP library sets its
-// deadline once for a whole response: a stream that outlived it was cut off in
-// mid-answer, however fast its caller read.
-func (b *body) allowWrite() {
-	_ = b.conn.SetWriteDeadline(time.Now().Add(b.write))
+// extendWriteDeadline gives the next write its own deadline. The HTTP library sets one
+// deadline for the whole response, which would cut off a long stream in the middle even
+// if its caller reads fast.
+func (b *responseBody) extendWriteDeadline() {
+	_ = b.conn.SetWriteDeadline(time.Now().Add(b.writeTimeout))
 }
 
-func (b *body) fill() {
+func (b *responseBody) fill() {
 	e := b.nextEvent()
-	b.out, b.at = b.out[:0], 0
+	b.out, b.pos = b.out[:0], 0
 	if e.Kind == entry.EventEnd {
 		b.finish(e.End)
 		return
 	}
-	out, err := b.r.render(b.out, e)
+	out, err := b.format.render(b.out, e)
 	if err != nil {
 		b.finish(entry.End{Outcome: api.OutcomeInterrupted, Reason: api.ReasonIntegrity, Detail: err.Error()})
 		return
@@ -184,42 +197,43 @@
 	b.out = out
 }
 
-func (b *body) finish(e entry.End) {
-	out, told, cut := b.r.end(b.out, e)
+func (b *responseBody) finish(e entry.End) {
+	out, reported, truncate := b.format.end(b.out, e)
 	b.out = out
-	b.last = io.EOF
-	if told.Outcome != api.OutcomeCompleted && !b.left && b.refused != nil {
-		b.refused(told.Reason)
+	b.readErr = io.EOF
+	if reported.Outcome != api.OutcomeCompleted && !b.callerLeft && b.onRefused != nil {
+		b.onRefused(reported.Reason)
 	}
-	if cut {
-		b.last = errCut
+	if truncate {
+		b.readErr = errTruncated
 	}
 }
 
-func (b *body) nextEvent() entry.Event {
-	if len(b.early) > 0 {
-		e := b.early[0]
-		b.early = b.early[1:]
+func (b *responseBody) nextEvent() entry.Event {
+	if len(b.firstEvents) > 0 {
+		e := b.firstEvents[0]
+		b.firstEvents = b.firstEvents[1:]
 		return e
 	}
-	return b.feed.next(b.feed.keep)
+	return b.answerReader.next(b.answerReader.keepAlive)
 }
 
 // Close implements io.Closer.
-func (b *body) Close() error {
-	if b.last == nil && b.after != nil {
-		b.after(b.drain)
+func (b *responseBody) Close() error {
+	if b.readErr == nil && b.runInBackground != nil {
+		b.runInBackground(b.drain)
 		return nil
 	}
-	b.feed.Close()
+	b.answerReader.Close()
 	return nil
 }
 
-// drain reads the answer to its end for the record alone.
-func (b *body) drain() {
-	b.left = true
-	for b.last == nil {
+// drain reads the rest of the answer without sending it, so that the call runs to its
+// end and its claim, if any, is settled.
+func (b *responseBody) drain() {
+	b.callerLeft = true
+	for b.readErr == nil {
 		b.fill()
 	}
-	b.feed.Close()
+	b.answerReader.Close()
 }
--- a/node/callers/claims.go
+++ b/node/callers/claims.go
@@ -12,142 +12,150 @@
 	"github.com/fxamacker/cbor/v2"
 )
 
-// Claimer is the road to the control group for calls that must not be repeated;
-// control.Client is one. Methods are called from several goroutines and retry
-// within their context.
+// Claimer obtains claims from the control group for calls that must not be repeated;
+// control.Client implements it. Its methods are called from several goroutines and
+// retry until their context is done.
 type Claimer interface {
-	// Claim asks for the grant of one dispatch. An error means that there is no
-	// grant.
+	// Claim requests the grant for one dispatch. If it returns an error, the call must
+	// not be dispatched.
 	Claim(ctx context.Context, req claim.Request) (claim.Decision, error)
-	// Abandon gives back a claim whose grant was never learnt.
+	// Abandon releases a claim whose grant may have been recorded although the entry
+	// did not receive it.
 	Abandon(ctx context.Context, key claim.Key, claimant string) error
-	// Settle tells what became of a grant.
+	// Settle reports the outcome of the call that was dispatched under a grant.
 	Settle(ctx context.Context, rep claim.Report) error
 }
 
-// Bounds of the talk with the control group about one call.
+// Time limits of requests to the control group about one call, and the RetryAfter of a
+// call that is in progress.
 const (
-	claimWithin  = 5 * time.Second
-	settleWithin = 30 * time.Second
-	inProgress   = time.Second
+	claimTimeout         = 5 * time.Second
+	settleTimeout        = 30 * time.Second
+	inProgressRetryAfter = time.Second
 )
 
-// ticket is the claim of one call at this entry.
-type ticket struct {
+// callClaim is the claim of one call, held by this entry for the idempotency key of the
+// call.
+type callClaim struct {
 	server *Server
 	key    claim.Key
 	digest claim.Digest
 	id     api.RequestID
 	grant  uint64
-	// kept is the answer of an earlier run, to be given in place of a new one.
-	kept *kept
+	// storedAnswer is the answer of an earlier call with the same key. It is returned
+	// instead of running the call again.
+	storedAnswer *storedAnswer
 }
 
-// kept is the answer of a settled call, as the control group holds it.
-type kept struct {
-	Status  int          `cbor:"1,keyasint"`
-	Headers []keptHeader `cbor:"2,keyasint"`
-	Body    []byte       `cbor:"3,keyasint"`
+// storedAnswer is the answer of a settled call as the control group stores it.
+type storedAnswer struct {
+	Status  int            `cbor:"1,keyasint"`
+	Headers []storedHeader `cbor:"2,keyasint"`
+	Body    []byte         `cbor:"3,keyasint"`
 }
 
-type keptHeader struct {
+type storedHeader struct {
 	Name  string `cbor:"1,keyasint"`
 	Value string `cbor:"2,keyasint"`
 }
 
-// dispatch asks for the grant just before a dispatch, when the place is known.
-// An earlier attempt that is proved not to have run gives its grant back first;
-// without that proof the entry makes no further attempt.
-func (t *ticket) dispatch(target api.TargetID, inc api.Incarnation, n api.Attempt) error {
-	ctx, cancel := context.WithTimeout(t.server.base, claimWithin)
+// dispatch requests the grant for one attempt, just before its dispatch and after its
+// target was chosen. If an earlier attempt has been granted, dispatch first reports
+// that it did not run; the entry only makes another attempt if that is proved.
+func (cc *callClaim) dispatch(target api.TargetID, inc api.Incarnation, attempt api.Attempt) error {
+	ctx, cancel := context.WithTimeout(cc.server.baseCtx, claimTimeout)
 	defer cancel()
-	if t.grant != 0 {
-		rep := claim.Report{Key: t.key, Grant: t.grant, Outcome: api.OutcomeNotRun}
-		if err := t.server.claimer.Settle(ctx, rep); err != nil {
+	if cc.grant != 0 {
+		report := claim.Report{Key: cc.key, Grant: cc.grant, Outcome: api.OutcomeNotRun}
+		if err := cc.server.claimer.Settle(ctx, report); err != nil {
 			return err
 		}
-		t.grant = 0
+		cc.grant = 0
 	}
-	claimant := fmt.Sprintf("%s/%d", t.id, n)
-	d, err := t.server.claimer.Claim(ctx, claim.Request{
-		Key:      t.key,
-		Digest:   t.digest,
+	claimant := fmt.Sprintf("%s/%d", cc.id, attempt)
+	d, err := cc.server.claimer.Claim(ctx, claim.Request{
+		Key:      cc.key,
+		Digest:   cc.digest,
 		Place:    claim.Place{Target: target, Incarnation: inc},
 		Claimant: claimant,
-		Request:  t.id,
+		Request:  cc.id,
 	})
 	if err != nil {
-		t.server.abandon(t.key, claimant)
+		cc.server.abandon(cc.key, claimant)
 		return err
 	}
-	return t.decided(d)
+	return cc.handleDecision(d)
 }
 
-// abandon gives back, in the background, a claim that may have been recorded
-// although its answer was lost: the caller's next try would otherwise be told
-// that the call is in progress.
+// abandon releases, in the background, a claim that may have been recorded although its
+// response was lost. Otherwise the caller's next try would be refused because the call
+// seems to be in progress.
 func (s *Server) abandon(key claim.Key, claimant string) {
-	s.work.Go(func() {
-		ctx, cancel := context.WithTimeout(s.base, settleWithin)
+	s.background.Go(func() {
+		ctx, cancel := context.WithTimeout(s.baseCtx, settleTimeout)
 		defer cancel()
 		_ = s.claimer.Abandon(ctx, key, claimant)
 	})
 }
 
-func (t *ticket) decided(d claim.Decision) error {
+// handleDecision stores the grant, or returns the error that ends the request.
+func (cc *callClaim) handleDecision(d claim.Decision) error {
 	switch d.Verdict {
 	case claim.Granted:
-		t.grant = d.Record.Grant
+		cc.grant = d.Record.Grant
 		return nil
 	case claim.Answered:
-		return t.answered(d.Record)
+		return cc.useStoredAnswer(d.Record)
 	case claim.InProgress:
-		err := t.refuse(api.OutcomeUnknown, d.Verdict.Reason(), "the call with this key is in progress; ask again for its answer")
-		err.RetryAfter = inProgress
+		err := cc.refuse(api.OutcomeUnknown, d.Verdict.Reason(), "the call with this key is in progress; ask again for its answer")
+		err.RetryAfter = inProgressRetryAfter
 		return err
 	case claim.Undecided:
-		return t.refuse(api.OutcomeUnknown, d.Verdict.Reason(), "nothing proves whether the call with this key ran; it will not run again")
+		return cc.refuse(api.OutcomeUnknown, d.Verdict.Reason(), "nothing proves whether the call with this key ran; it will not run again")
 	case claim.Conflict:
-		return t.refuse(api.OutcomeNotRun, d.Verdict.Reason(), "this key was used for another request")
+		return cc.refuse(api.OutcomeNotRun, d.Verdict.Reason(), "this key was used for another request")
 	}
-	return t.refuse(api.OutcomeNotRun, d.Verdict.Reason(), "too many keys are remembered for this customer")
+	return cc.refuse(api.OutcomeNotRun, d.Verdict.Reason(), "too many keys are remembered for this customer")
 }
 
-func (t *ticket) refuse(o api.Outcome, reason api.Reason, text string) *api.Error {
+func (cc *callClaim) refuse(o api.Outcome, reason api.Reason, text string) *api.Error {
 	return &api.Error{Step: api.StepClaim, Outcome: o, Reason: reason, Err: errors.New(text)}
 }
 
-// answered takes the kept answer. Its error ends the request as completed, which
-// it is: only no dispatch follows. Without one the caller is told the outcome.
-func (t *ticket) answered(r claim.Record) error {
+// useStoredAnswer takes the stored answer from the record of the claim. It always
+// returns an error, so that no dispatch follows. If the stored answer can be used, the
+// outcome of the error is completed and the caller receives the stored answer.
+// Otherwise the error tells the caller the outcome of the earlier call.
+func (cc *callClaim) useStoredAnswer(r claim.Record) error {
 	if !r.Kept || r.Outcome != api.OutcomeCompleted {
-		return t.refuse(r.Outcome, api.ReasonDuplicate, "the call with this key ended as "+string(r.Outcome)+" and its answer is not kept")
+		return cc.refuse(r.Outcome, api.ReasonDuplicate, "the call with this key ended as "+string(r.Outcome)+" and its answer is not kept")
 	}
-	var k kept
-	if err := cbor.Unmarshal(r.Answer, &k); err != nil {
-		return t.refuse(r.Outcome, api.ReasonIntegrity, "the kept answer cannot be read")
+	var answer storedAnswer
+	if err := cbor.Unmarshal(r.Answer, &answer); err != nil {
+		return cc.refuse(r.Outcome, api.ReasonIntegrity, "the kept answer cannot be read")
 	}
-	t.kept = &k
-	return t.refuse(api.OutcomeCompleted, api.ReasonDuplicate, "the kept answer is given")
+	cc.storedAnswer = &answer
+	return cc.refuse(api.OutcomeCompleted, api.ReasonDuplicate, "the kept answer is given")
 }
 
-// settle tells the control group how the call ended, in the background, so that
-// the caller's answer does not wait for it. A report that gets lost leaves the
-// claim undecided, which is safe: it is never granted again.
-func (t *ticket) settle(end entry.End, k *kept) {
-	if t.grant == 0 {
+// settle reports the outcome of the call to the control group, with the answer if it is
+// not nil. It does so in the background, so that the caller does not wait for it. If
+// the report is lost, the outcome of the claim stays unknown, which is safe: the key is
+// never granted again.
+func (cc *callClaim) settle(end entry.End, answer *storedAnswer) {
+	if cc.grant == 0 {
 		return
 	}
-	rep := claim.Report{Key: t.key, Grant: t.grant, Outcome: end.Outcome}
-	if k != nil {
-		if b, err := cbor.Marshal(k); err == nil {
-			rep.Status = k.Status
-			rep.Answer = b
+	report := claim.Report{Key: cc.key, Grant: cc.grant, Outcome: end.Outcome}
+	if answer != nil {
+		if b, err := cbor.Marshal(answer); err == nil {
+			report.Status = answer.Status
+			report.Answer = b
 		}
 	}
-	t.server.work.Go(func() {
-		ctx, cancel := context.WithTimeout(t.server.base, settleWithin)
+	cc.server.background.Go(func() {
+		ctx, cancel := context.WithTimeout(cc.server.baseCtx, settleTimeout)
 		defer cancel()
-		_ = t.server.claimer.Settle(ctx, rep)
+		_ = cc.server.claimer.Settle(ctx, report)
 	})
 }
--- a/node/callers/connections.go
+++ b/node/callers/connections.go
@@ -12,74 +12,74 @@
 )
 
 const (
-	// spareConnections are taken beyond the limit so that their callers are
-	// told why; a flood beyond them is closed without a word.
+	// spareConnections is the number of connections accepted beyond the limit, so that
+	// their callers receive a refusal with a reason. Further connections are closed
+	// without a response.
 	spareConnections = 256
-	// retryConnection is when a caller beyond the limit may come back.
-	retryConnection = time.Second
+	// connectionRetryAfter is the RetryAfter of a refusal for exceeding the limit.
+	connectionRetryAfter = time.Second
 )
 
-// connections is a listener that holds callers' connections to the limit in
-// force. A connection beyond it is served as far as its first request, which is
-// refused as not run.
-type connections struct {
+// limitedListener is a listener that limits the number of callers' connections to the
+// configured maximum. On a connection beyond the limit, the first request is refused as
+// not run and the connection is closed.
+type limitedListener struct {
 	net.Listener
-	live  *fleetconfig.Live
-	obs   Observer
-	taken *limit.Cap
-	spare *limit.Cap
+	live    *fleetconfig.Live
+	obs     Observer
+	regular *limit.Cap
+	spare   *limit.Cap
 }
 
-func newConnections(ln net.Listener, live *fleetconfig.Live, obs Observer, most int64) *connections {
-	return &connections{
+func newLimitedListener(ln net.Listener, live *fleetconfig.Live, obs Observer, maxConnections int64) *limitedListener {
+	return &limitedListener{
 		Listener: ln,
 		live:     live,
 		obs:      obs,
-		taken:    limit.NewCap(most, api.ReasonConnectionLimit, retryConnection),
-		spare:    limit.NewCap(spareConnections, api.ReasonConnectionLimit, retryConnection),
+		regular:  limit.NewCap(maxConnections, api.ReasonConnectionLimit, connectionRetryAfter),
+		spare:    limit.NewCap(spareConnections, api.ReasonConnectionLimit, connectionRetryAfter),
 	}
 }
 
 // Accept implements net.Listener.
-func (l *connections) Accept() (net.Conn, error) {
+func (l *limitedListener) Accept() (net.Conn, error) {
 	for {
 		c, err := l.Listener.Accept()
 		if err != nil {
 			return nil, err
 		}
 		if conf := l.live.Load(); conf != nil {
-			l.taken.Set(int64(conf.Limits().MaxConnections))
+			l.regular.Set(int64(conf.Limits().MaxConnections))
 		}
-		over := l.taken.Acquire(1)
-		if over == nil {
-			return &connection{Conn: c, of: l.taken}, nil
+		limitErr := l.regular.Acquire(1)
+		if limitErr == nil {
+			return &limitedConn{Conn: c, slot: l.regular}, nil
 		}
 		if l.spare.Acquire(1) == nil {
-			return &connection{Conn: c, of: l.spare, over: over}, nil
+			return &limitedConn{Conn: c, slot: l.spare, limitErr: limitErr}, nil
 		}
-		l.obs.Refused("", over.Reason)
+		l.obs.Refused("", limitErr.Reason)
 		_ = c.Close()
 	}
 }
 
-// connection gives its place back when it is closed.
-type connection struct {
+// limitedConn is a connection that releases its slot when it is closed.
+type limitedConn struct {
 	net.Conn
-	of   *limit.Cap
-	over *api.Error // set on one beyond the limit
-	once sync.Once
+	slot     *limit.Cap
+	limitErr *api.Error // not nil if the connection exceeds the limit
+	once     sync.Once
 }
 
 // Close implements net.Conn.
-func (c *connection) Close() error {
+func (c *limitedConn) Close() error {
 	err := c.Conn.Close()
-	c.once.Do(func() { c.of.Release(1) })
+	c.once.Do(func() { c.slot.Release(1) })
 	return err
 }
 
-// SyscallConn implements syscall.Conn, by which it is seen that a caller has
-// gone.
-func (c *connection) SyscallConn() (syscall.RawConn, error) {
+// SyscallConn implements syscall.Conn, which peerClosedFunc needs.
+func (c *limitedConn) SyscallConn() (syscall.RawConn, error) {
 	sc, ok := c.Conn.(syscall.Conn)
 	if !ok {
 		return nil, syscall.EINVAL
@@ -87,10 +87,11 @@
 	return sc.SyscallConn()
 }
 
-// beyond gives the refusal of a connection beyond the limit, nil of another.
-func beyond(c net.Conn) *api.Error {
-	if own, ok := c.(*connection); ok {
-		return own.over
+// connectionRefusal returns the refusal for requests on a connection beyond the limit,
+// and nil for other connections.
+func connectionRefusal(c net.Conn) *api.Error {
+	if lc, ok := c.(*limitedConn); ok {
+		return lc.limitErr
 	}
 	return nil
 }
--- a/node/callers/errors.go
+++ b/node/callers/errors.go
@@ -12,7 +12,7 @@
 	"github.com/gofiber/fiber/v3"
 )
 
-// errorObject is the OpenAI error object with this system's outcome beside it.
+// errorObject is the error object of the OpenAI API, with this system's outcome added.
 type errorObject struct {
 	Error errorBody `json:"error"`
 }
@@ -28,12 +28,12 @@
 	RetryAfter float64 `json:"retry_after,omitempty"`
 }
 
-// refusal builds an error that proves the request did not run.
+// refusal returns an error with the outcome not_run.
 func refusal(step api.Step, reason api.Reason, text string) *api.Error {
 	return api.NotRun(step, "", reason, errors.New(text))
 }
 
-func errorOf(id api.RequestID, end entry.End) errorObject {
+func newErrorObject(id api.RequestID, end entry.End) errorObject {
 	info := api.Reasons[end.Reason]
 	b := errorBody{
 		Message:    errorText(end),
@@ -54,14 +54,15 @@
 }
 
 func errorJSON(id api.RequestID, end entry.End) []byte {
-	b, err := json.Marshal(errorOf(id, end))
+	b, err := json.Marshal(newErrorObject(id, end))
 	if err != nil {
 		return []byte(`{"error":{"message":"internal error","outcome":"unknown"}}`)
 	}
 	return b
 }
 
-// writeError answers with an error while no byte of an answer has been sent.
+// writeError responds with an error status and an error object. It must be called
+// before any byte of the response has been sent.
 func (s *Server) writeError(c fiber.Ctx, customer api.CustomerID, id api.RequestID, end entry.End) error {
 	s.obs.Refused(customer, end.Reason)
 	status := api.Reasons[end.Reason].Status
@@ -72,31 +73,32 @@
 	c.Set(HeaderOutcome, string(end.Outcome))
 	c.Set(HeaderReason, string(end.Reason))
 	if end.RetryAfter > 0 {
-		c.Set(fiber.HeaderRetryAfter, retryAfter(end.RetryAfter))
+		c.Set(fiber.HeaderRetryAfter, formatRetryAfter(end.RetryAfter))
 	}
 	return c.Status(status).Send(errorJSON(id, end))
 }
 
-// refusedTo counts what a caller is told after its status has been sent.
-func (s *Server) refusedTo(who *caller) func(api.Reason) {
-	return func(reason api.Reason) { s.obs.Refused(who.customerID(), reason) }
+// refusalReporter returns a function that reports to the observer an error that the
+// caller receives after the status has been sent.
+func (s *Server) refusalReporter(caller *callerInfo) func(api.Reason) {
+	return func(reason api.Reason) { s.obs.Refused(caller.customerID(), reason) }
 }
 
-// retryAfter is in whole seconds, rounded up: a caller that comes back early
-// only meets the same crowd again.
-func retryAfter(d time.Duration) string {
+// formatRetryAfter returns d in whole seconds for the Retry-After header. It rounds up:
+// a caller that retries too early would only be refused again.
+func formatRetryAfter(d time.Duration) string {
 	return strconv.Itoa(int(math.Ceil(d.Seconds())))
 }
 
-// onError answers for requests that the HTTP library itself refused.
-func (s *Server) onError(c fiber.Ctx, err error) error {
+// handleError responds to requests that the HTTP library itself has rejected.
+func (s *Server) handleError(c fiber.Ctx, err error) error {
 	reason := api.ReasonInternal
-	var fe *fiber.Error
-	if errors.As(err, &fe) {
+	var fiberErr *fiber.Error
+	if errors.As(err, &fiberErr) {
 		switch {
-		case fe.Code == fiber.StatusRequestEntityTooLarge, fe.Code == fiber.StatusRequestHeaderFieldsTooLarge:
+		case fiberErr.Code == fiber.StatusRequestEntityTooLarge, fiberErr.Code == fiber.StatusRequestHeaderFieldsTooLarge:
 			reason = api.ReasonTooLarge
-		case fe.Code < fiber.StatusInternalServerError:
+		case fiberErr.Code < fiber.StatusInternalServerError:
 			reason = api.ReasonBadRequest
 		}
 	}
--- a/node/callers/generate.go
+++ b/node/callers/generate.go
@@ -11,124 +11,125 @@
 	"github.com/gofiber/fiber/v3"
 )
 
-// openWithin bounds the wait for a first item before a stream is opened. A
-// refusal or failure within it is answered with its own HTTP status, which
-// ordinary client libraries understand best. A change of phase does not open the
-// stream: an agent says "queued" to every request that it takes, also to those
-// that fail at once because its engine cannot be reached.
-const openWithin = time.Second
+// streamOpenTimeout bounds the wait for a first item before the response headers of a
+// stream are sent. A refusal or failure within this time is returned with its own HTTP
+// status, which client libraries handle best. A change of phase does not start the
+// response: a request that an agent accepts becomes queued even if it fails immediately
+// because the engine is unreachable.
+const streamOpenTimeout = time.Second
 
-// generate serves both OpenAI-compatible generation paths.
+// generate handles requests for both OpenAI-compatible generation paths.
 func (s *Server) generate(c fiber.Ctx) error {
-	who, err := s.admit(c)
+	caller, err := s.admit(c)
 	if err != nil {
-		return s.writeError(c, who.customerID(), who.id, entry.AsEnd(err))
+		return s.writeError(c, caller.customerID(), caller.id, entry.AsEnd(err))
 	}
-	p, err := s.parseGeneration(c, who)
+	p, err := s.parseGeneration(c, caller)
 	if err != nil {
-		return s.writeError(c, who.customerID(), who.id, entry.AsEnd(err))
+		return s.writeError(c, caller.customerID(), caller.id, entry.AsEnd(err))
 	}
 	if c.Get(headerLastEvent) != "" {
-		return s.comeBack(c, who, p)
+		return s.resumeStream(c, caller, p)
 	}
-	settle, err := s.limiter.Acquire(who.customer, p.req.Size.Prompt, s.cfg.Clock())
+	settle, err := s.limiter.Acquire(caller.customer, p.req.Size.Prompt, s.cfg.Clock())
 	if err != nil {
-		return s.writeError(c, who.customerID(), who.id, entry.AsEnd(err))
+		return s.writeError(c, caller.customerID(), caller.id, entry.AsEnd(err))
 	}
-	ans := s.entry.Start(s.base, p.req)
-	return s.answer(c, who, p, ans, settle)
+	answer := s.entry.Start(s.baseCtx, p.req)
+	return s.sendAnswer(c, caller, p, answer, settle)
 }
 
-func (s *Server) answer(c fiber.Ctx, who *caller, p *parsed, ans *entry.Answer, settle func(int)) error {
-	feed := &feed{
-		ans:    ans,
-		keep:   who.conf.Limits().KeepAlive,
-		hold:   headerDuration(c, HeaderHold),
-		settle: settle,
-		prompt: p.req.Size.Prompt,
-		gone:   connGone(c.RequestCtx().Conn()),
+func (s *Server) sendAnswer(c fiber.Ctx, caller *callerInfo, p *generationRequest, answer *entry.Answer, settle func(int)) error {
+	answerReader := &answerReader{
+		answer:       answer,
+		keepAlive:    caller.conf.Limits().KeepAlive,
+		hold:         headerDuration(c, HeaderHold),
+		settle:       settle,
+		promptTokens: p.req.Size.Prompt,
+		callerGone:   peerClosedFunc(c.RequestCtx().Conn()),
 	}
 	if p.stream {
-		return s.answerStream(c, who, p, feed)
+		return s.answerStream(c, caller, p, answerReader)
 	}
-	return s.answerWhole(c, who, p, feed)
+	return s.answerWhole(c, caller, p, answerReader)
 }
 
-func (s *Server) answerStream(c fiber.Ctx, who *caller, p *parsed, f *feed) error {
-	early := f.early(openWithin)
-	if last := early[len(early)-1]; last.Kind == entry.EventEnd && last.End.Outcome != api.OutcomeCompleted {
-		f.Close()
-		return s.writeError(c, who.customerID(), who.id, last.End)
+func (s *Server) answerStream(c fiber.Ctx, caller *callerInfo, p *generationRequest, reader *answerReader) error {
+	firstEvents := reader.firstEvents(streamOpenTimeout)
+	if last := firstEvents[len(firstEvents)-1]; last.Kind == entry.EventEnd && last.End.Outcome != api.OutcomeCompleted {
+		reader.Close()
+		return s.writeError(c, caller.customerID(), caller.id, last.End)
 	}
 	c.Set(fiber.HeaderContentType, "text/event-stream")
 	c.Set(fiber.HeaderCacheControl, "no-cache")
 	c.Set("X-Accel-Buffering", "no")
-	r := newSSE(who.id, p, s.cfg.Clock())
-	c.RequestCtx().Response.SetBodyStream(&body{conn: c.RequestCtx().Conn(), write: s.cfg.WriteTimeout, feed: f, r: r, early: early, refused: s.refusedTo(who)}, -1)
+	format := newSSE(caller.id, p, s.cfg.Clock())
+	c.RequestCtx().Response.SetBodyStream(&responseBody{conn: c.RequestCtx().Conn(), writeTimeout: s.cfg.WriteTimeout, answerReader: reader, format: format, firstEvents: firstEvents, onRefused: s.refusalReporter(caller)}, -1)
 	return nil
 }
 
-// answerWhole collects the answer. Until the keep-alive interval has passed
-// nothing is sent, so that a refusal or an early failure has its own status.
-// From then on the caller is shown white space, which JSON permits before the
-// object; a failure after that cuts the connection, for a body of status 200
-// that ends in order would pass for an answer.
-func (s *Server) answerWhole(c fiber.Ctx, who *caller, p *parsed, f *feed) error {
-	w := newWhole(who.id, p, s.cfg.Clock())
-	deadline := time.Now().Add(f.keep)
+// answerWhole collects the answer and sends it as one object. Nothing is sent until the
+// keep-alive interval has passed, so that a refusal or an early failure has its own
+// status. After that, the caller receives white space while it waits, which JSON
+// permits before the object. A failure then truncates the response: a body with status
+// 200 that ends normally would be taken for a valid answer.
+func (s *Server) answerWhole(c fiber.Ctx, caller *callerInfo, p *generationRequest, reader *answerReader) error {
+	builder := newCompletionBuilder(caller.id, p, s.cfg.Clock())
+	deadline := time.Now().Add(reader.keepAlive)
 	for {
-		e := f.next(time.Until(deadline))
+		e := reader.next(time.Until(deadline))
 		if e.Kind == entry.EventEnd {
-			f.Close()
-			return s.finishWhole(c, who, w, e.End)
+			reader.Close()
+			return s.finishWhole(c, caller, builder, e.End)
 		}
-		if err := w.add(e); err != nil {
-			f.Close()
-			return s.writeError(c, who.customerID(), who.id, entry.End{Outcome: api.OutcomeInterrupted, Reason: api.ReasonIntegrity, Detail: err.Error()})
+		if err := builder.add(e); err != nil {
+			reader.Close()
+			return s.writeError(c, caller.customerID(), caller.id, entry.End{Outcome: api.OutcomeInterrupted, Reason: api.ReasonIntegrity, Detail: err.Error()})
 		}
 		if !time.Now().Before(deadline) {
 			break
 		}
 	}
 	c.Set(fiber.HeaderContentType, fiber.MIMEApplicationJSON)
-	c.RequestCtx().Response.SetBodyStream(&body{conn: c.RequestCtx().Conn(), write: s.cfg.WriteTimeout, feed: f, r: w, refused: s.refusedTo(who)}, -1)
+	c.RequestCtx().Response.SetBodyStream(&responseBody{conn: c.RequestCtx().Conn(), writeTimeout: s.cfg.WriteTimeout, answerReader: reader, format: builder, onRefused: s.refusalReporter(caller)}, -1)
 	return nil
 }
 
-func (s *Server) finishWhole(c fiber.Ctx, who *caller, w *whole, end entry.End) error {
+func (s *Server) finishWhole(c fiber.Ctx, caller *callerInfo, builder *completionBuilder, end entry.End) error {
 	if end.Outcome != api.OutcomeCompleted {
-		return s.writeError(c, who.customerID(), who.id, end)
+		return s.writeError(c, caller.customerID(), caller.id, end)
 	}
-	out, err := w.object()
+	out, err := builder.object()
 	if err != nil {
-		return s.writeError(c, who.customerID(), who.id, entry.End{Outcome: api.OutcomeInterrupted, Reason: api.ReasonIntegrity, Detail: err.Error()})
+		return s.writeError(c, caller.customerID(), caller.id, entry.End{Outcome: api.OutcomeInterrupted, Reason: api.ReasonIntegrity, Detail: err.Error()})
 	}
 	c.Set(fiber.HeaderContentType, fiber.MIMEApplicationJSON)
 	c.Set(HeaderOutcome, string(api.OutcomeCompleted))
 	return c.Send(out)
 }
 
-// comeBack serves a caller that repeats its request with the request ID and the
-// last event ID it has seen.
-func (s *Server) comeBack(c fiber.Ctx, who *caller, p *parsed) error {
+// resumeStream resumes the stream of a caller that repeats its request with the request
+// ID and the ID of the last event it received.
+func (s *Server) resumeStream(c fiber.Ctx, caller *callerInfo, p *generationRequest) error {
 	from, ok := parseEventID(strings.Clone(c.Get(headerLastEvent)))
 	id := strings.Clone(c.Get(HeaderRequestID))
 	if !ok || id == "" || !p.stream {
 		err := refusal(api.StepParse, api.ReasonBadRequest, "to come back, send "+HeaderRequestID+" and "+headerLastEvent+" as received, with stream: true")
-		return s.writeError(c, who.customerID(), who.id, entry.AsEnd(err))
+		return s.writeError(c, caller.customerID(), caller.id, entry.AsEnd(err))
 	}
-	who.id = api.RequestID(id)
-	p.req.ID = who.id
+	caller.id = api.RequestID(id)
+	p.req.ID = caller.id
 	c.Set(HeaderRequestID, id)
 	c.Set(headerXRequestID, id)
-	ans, err := s.entry.Resume(s.base, p.req, from)
+	answer, err := s.entry.Resume(s.baseCtx, p.req, from)
 	if err != nil {
-		return s.writeError(c, who.customerID(), who.id, entry.AsEnd(err))
+		return s.writeError(c, caller.customerID(), caller.id, entry.AsEnd(err))
 	}
-	return s.answer(c, who, p, ans, func(int) {})
+	return s.sendAnswer(c, caller, p, answer, func(int) {})
 }
 
-// eventID names the place behind an item: where a caller that has it goes on.
+// appendEventID appends the event ID of an item: the offset of the next item, the
+// generation and the target. A caller that has received the item resumes from there.
 func appendEventID(dst []byte, e *entry.Event, off uint64) []byte {
 	dst = strconv.AppendUint(dst, off, 10)
 	dst = append(dst, '.')
@@ -160,34 +161,35 @@
 	OwnedBy string      `json:"owned_by"`
 }
 
-// models lists the models that the customer may ask for.
+// models lists the models that the customer may use.
 func (s *Server) models(c fiber.Ctx) error {
-	who, err := s.admit(c)
+	caller, err := s.admit(c)
 	if err != nil {
-		return s.writeError(c, who.customerID(), who.id, entry.AsEnd(err))
+		return s.writeError(c, caller.customerID(), caller.id, entry.AsEnd(err))
 	}
 	list := []modelObject{}
-	for _, m := range who.conf.Models() {
-		if who.customer.AllowsModel(m.ID) {
-			list = append(list, modelObject{ID: m.ID, Object: "model", OwnedBy: who.conf.Fleet().Name})
+	for _, m := range caller.conf.Models() {
+		if caller.customer.AllowsModel(m.ID) {
+			list = append(list, modelObject{ID: m.ID, Object: "model", OwnedBy: caller.conf.Fleet().Name})
 		}
 	}
 	return c.JSON(fiber.Map{"object": "list", "data": list})
 }
 
 func (s *Server) model(c fiber.Ctx) error {
-	who, err := s.admit(c)
+	caller, err := s.admit(c)
 	if err != nil {
-		return s.writeError(c, who.customerID(), who.id, entry.AsEnd(err))
+		return s.writeError(c, caller.customerID(), caller.id, entry.AsEnd(err))
 	}
-	m, err := findModel(who, api.ModelID(strings.Clone(c.Params("id"))))
+	m, err := findModel(caller, api.ModelID(strings.Clone(c.Params("id"))))
 	if err != nil {
-		return s.writeError(c, who.customerID(), who.id, entry.AsEnd(err))
+		return s.writeError(c, caller.customerID(), caller.id, entry.AsEnd(err))
 	}
-	return c.JSON(modelObject{ID: m.ID, Object: "model", OwnedBy: who.conf.Fleet().Name})
+	return c.JSON(modelObject{ID: m.ID, Object: "model", OwnedBy: caller.conf.Fleet().Name})
 }
 
-func comment(dst []byte, e entry.Event) []byte {
+// appendComment appends an SSE comment line with the phase of the request.
+func appendComment(dst []byte, e entry.Event) []byte {
 	phase := e.Phase
 	if phase == "" {
 		phase = "placing"
--- a/node/callers/parse.go
+++ b/node/callers/parse.go
@@ -19,16 +19,17 @@
 const (
 	pathChat        = "/v1/chat/completions"
 	pathCompletions = "/v1/completions"
-	// bytesPerToken turns a prompt's length into tokens; the engine counts for
-	// itself, this is for the decisions alone.
+	// bytesPerToken converts the length of a prompt into an estimate of its tokens,
+	// which is used only for admission and routing; the engine counts tokens itself.
 	bytesPerToken = 4
-	// prefixBytes of the prompt make the routing hash: enough to tell system
-	// prompts apart, short enough to be shared by requests that differ later.
+	// prefixBytes is the length of the prompt prefix that is hashed for routing: long
+	// enough to distinguish system prompts, short enough that requests which differ
+	// after it share the hash.
 	prefixBytes = 512
 )
 
-// generationBody is what is read of a generation request; everything else goes
-// to the engine as it came.
+// generationBody holds the fields of a generation request that the entry reads. The
+// body itself is passed to the engine unchanged.
 type generationBody struct {
 	Model         api.ModelID
 	Messages      []json.RawMessage
@@ -41,10 +42,10 @@
 	MaxCompletionTokens *int
 }
 
-// read takes the fields by their exact names. The standard library would also
-// take "Model" for "model", while engines go by the exact name: a body with both
-// would be allowed here for one model and run there on another.
-func (b *generationBody) read(body []byte) error {
+// decode reads the fields by their exact names. encoding/json alone would also accept
+// "Model" for "model", whereas engines use the exact name: a body with both could be
+// authorized for one model and run on another.
+func (b *generationBody) decode(body []byte) error {
 	var fields map[string]json.RawMessage
 	if err := json.Unmarshal(body, &fields); err != nil {
 		return err
@@ -69,32 +70,34 @@
 	return nil
 }
 
-// parsed is a generation request with how the caller wants its answer.
-type parsed struct {
+// generationRequest is a parsed generation request together with the form of the
+// response that the caller asked for.
+type generationRequest struct {
 	req    *entry.Request
 	chat   bool
 	stream bool
 	usage  bool
 }
 
-// parseGeneration reads a request's body. Every string and byte kept is copied:
-// the HTTP library uses the request's memory for the next request on the
-// connection as soon as the handler has returned, and the answer outlives it.
-func (s *Server) parseGeneration(c fiber.Ctx, who *caller) (*parsed, *api.Error) {
+// parseGeneration parses the body of a request. It copies every string and byte that is
+// kept: the HTTP library reuses the request's memory for the next request on the
+// connection as soon as the handler has returned, and the answer is still in progress
+// then.
+func (s *Server) parseGeneration(c fiber.Ctx, caller *callerInfo) (*generationRequest, *api.Error) {
 	body := bytes.Clone(c.Body())
-	if len(body) > int(who.conf.Limits().MaxBody) {
-		return nil, refusal(api.StepParse, api.ReasonTooLarge, fmt.Sprintf("the body is larger than %s", who.conf.Limits().MaxBody))
+	if len(body) > int(caller.conf.Limits().MaxBody) {
+		return nil, refusal(api.StepParse, api.ReasonTooLarge, fmt.Sprintf("the body is larger than %s", caller.conf.Limits().MaxBody))
 	}
-	return parseBody(s.newRequest(c, who), who, body, c.Path() == pathChat, c.Get(HeaderKind))
+	return parseBody(s.newRequest(c, caller), caller, body, c.Path() == pathChat, c.Get(HeaderKind))
 }
 
-// parseBody fills req from the body of a generation. It keeps body.
-func parseBody(req *entry.Request, who *caller, body []byte, chat bool, kind string) (*parsed, *api.Error) {
+// parseBody fills req from the body of a generation request. It retains body.
+func parseBody(req *entry.Request, caller *callerInfo, body []byte, chat bool, kind string) (*generationRequest, *api.Error) {
 	var b generationBody
-	if err := b.read(body); err != nil {
+	if err := b.decode(body); err != nil {
 		return nil, refusal(api.StepParse, api.ReasonBadRequest, "the body is not the expected JSON: "+err.Error())
 	}
-	model, err := findModel(who, b.Model)
+	model, err := findModel(caller, b.Model)
 	if err != nil {
 		return nil, err
 	}
@@ -109,10 +112,10 @@
 	}
 	req.Body = body
 	req.Repeatable = true
-	if err := size(req, who, model, &b, text, kind); err != nil {
+	if err := setSize(req, caller, model, &b, text, kind); err != nil {
 		return nil, err
 	}
-	return &parsed{
+	return &generationRequest{
 		req:    req,
 		chat:   chat,
 		stream: b.Stream,
@@ -120,15 +123,17 @@
 	}, nil
 }
 
-func findModel(who *caller, id api.ModelID) (*fleetconfig.Model, *api.Error) {
-	m, ok := who.conf.Model(id)
-	if !ok || !who.customer.AllowsModel(id) {
-		// One answer for both: which models others use is not told.
+func findModel(caller *callerInfo, id api.ModelID) (*fleetconfig.Model, *api.Error) {
+	m, ok := caller.conf.Model(id)
+	if !ok || !caller.customer.AllowsModel(id) {
+		// The error is the same in both cases, so that a customer does not learn
+		// which models other customers use.
 		return nil, refusal(api.StepParse, api.ReasonUnknownModel, fmt.Sprintf("the model %q does not exist", id))
 	}
 	return m, nil
 }
 
+// promptText returns the raw JSON of the prompt or the messages.
 func promptText(b *generationBody, chat bool) []byte {
 	if !chat {
 		return b.Prompt
@@ -140,18 +145,20 @@
 	return text
 }
 
-// newRequest fills what every kind of request has.
-func (s *Server) newRequest(c fiber.Ctx, who *caller) *entry.Request {
+// newRequest returns a request with the fields that generations and plain calls have in
+// common.
+func (s *Server) newRequest(c fiber.Ctx, caller *callerInfo) *entry.Request {
 	return &entry.Request{
-		ID:       who.id,
-		Size:     wire.Size{Customer: who.customer.ID, Weight: who.customer.Weight},
+		ID:       caller.id,
+		Size:     wire.Size{Customer: caller.customer.ID, Weight: caller.customer.Weight},
 		Query:    routing.Query{Zone: s.cfg.Zone},
 		Arrived:  s.cfg.Clock(),
 		Patience: headerDuration(c, HeaderPatience),
 	}
 }
 
-// headerDuration reads a header such as "30s"; anything else counts as absent.
+// headerDuration parses a header such as "30s". It returns 0 if the header is absent,
+// invalid or negative.
 func headerDuration(c fiber.Ctx, name string) time.Duration {
 	d, err := time.ParseDuration(strings.Clone(c.Get(name)))
 	if err != nil || d < 0 {
@@ -160,23 +167,25 @@
 	return d
 }
 
-func size(req *entry.Request, who *caller, m *fleetconfig.Model, b *generationBody, text []byte, header string) *api.Error {
+// setSize sets the size of the request and the routing query. It returns an error if
+// the prompt is too long or max_tokens is invalid.
+func setSize(req *entry.Request, caller *callerInfo, m *fleetconfig.Model, b *generationBody, text []byte, kindHeader string) *api.Error {
 	prompt := len(text)/bytesPerToken + 1
-	if most := who.customer.MaxPromptTokens; most > 0 && prompt > most || prompt > m.ContextTokens {
+	if promptLimit := caller.customer.MaxPromptTokens; promptLimit > 0 && prompt > promptLimit || prompt > m.ContextTokens {
 		return refusal(api.StepParse, api.ReasonTooLarge, fmt.Sprintf("the prompt has about %d tokens, more than is allowed", prompt))
 	}
-	bound, err := maxTokens(b)
+	tokenLimit, err := requestedMaxTokens(b)
 	if err != nil {
 		return err
 	}
-	kind := m.KindOf(header, bound)
+	kind := m.KindOf(kindHeader, tokenLimit)
 	req.Size.Model = m.ID
 	req.Size.KindName = kind.ID
 	req.Size.Short = kind.Class == fleetconfig.ClassTag
 	req.Size.Prompt = prompt
 	req.Size.MaxTokens = m.MaxOutputTokens
-	if bound > 0 {
-		req.Size.MaxTokens = min(bound, m.MaxOutputTokens)
+	if tokenLimit > 0 {
+		req.Size.MaxTokens = min(tokenLimit, m.MaxOutputTokens)
 	}
 	req.Size.Prefix = xxhash.Sum64(text[:min(len(text), prefixBytes)])
 	req.Query.Model = m.ID
@@ -185,7 +194,9 @@
 	return nil
 }
 
-func maxTokens(b *generationBody) (int, *api.Error) {
+// requestedMaxTokens returns max_completion_tokens or else max_tokens of the body, and
+// 0 if neither is set.
+func requestedMaxTokens(b *generationBody) (int, *api.Error) {
 	n := b.MaxCompletionTokens
 	if n == nil {
 		n = b.MaxTokens
--- a/node/callers/plain.go
+++ b/node/callers/plain.go
@@ -16,8 +16,9 @@
 	"github.com/gofiber/fiber/v3"
 )
 
-// hopByHop lists the headers that belong to one connection (RFC 9110, section
-// 7.6.1) and those that are this system's own business with its caller.
+// hopByHop lists the headers that are not passed on: those of a single connection (see
+// RFC 9110, section 7.6.1) and those that this system handles or sets itself, such as
+// Authorization and Content-Length.
 var hopByHop = map[string]bool{
 	"connection": true, "keep-alive": true, "proxy-connection": true,
 	"proxy-authenticate": true, "proxy-authorization": true, "te": true,
@@ -26,66 +27,69 @@
 	"server": true, "expect": true,
 }
 
-// call passes a request on to the plain service its path belongs to.
+// call handles a plain call to the service that its path belongs to.
 func (s *Server) call(c fiber.Ctx) error {
-	who, err := s.admit(c)
+	caller, err := s.admit(c)
 	if err != nil {
-		return s.writeError(c, who.customerID(), who.id, entry.AsEnd(err))
+		return s.writeError(c, caller.customerID(), caller.id, entry.AsEnd(err))
 	}
-	req, svc, err := s.parseCall(c, who)
+	req, svc, err := s.parseCall(c, caller)
 	if err != nil {
-		return s.writeError(c, who.customerID(), who.id, entry.AsEnd(err))
+		return s.writeError(c, caller.customerID(), caller.id, entry.AsEnd(err))
 	}
-	settle, err := s.limiter.Acquire(who.customer, 0, s.cfg.Clock())
+	settle, err := s.limiter.Acquire(caller.customer, 0, s.cfg.Clock())
 	if err != nil {
-		return s.writeError(c, who.customerID(), who.id, entry.AsEnd(err))
+		return s.writeError(c, caller.customerID(), caller.id, entry.AsEnd(err))
 	}
-	ticket, err := s.ticket(c, who, req)
+	callClaim, err := s.callClaim(c, caller, req)
 	if err != nil {
 		settle(0)
-		return s.writeError(c, who.customerID(), who.id, entry.AsEnd(err))
+		return s.writeError(c, caller.customerID(), caller.id, entry.AsEnd(err))
 	}
-	if ticket != nil {
-		req.Claimed = ticket.dispatch
+	if callClaim != nil {
+		req.Claimed = callClaim.dispatch
 	}
-	ans := s.entry.Start(s.base, req)
-	f := &feed{ans: ans, keep: svc.Timeout, settle: settle, gone: connGone(c.RequestCtx().Conn())}
-	b := &body{conn: c.RequestCtx().Conn(), write: s.cfg.WriteTimeout, feed: f, refused: s.refusedTo(who)}
+	answer := s.entry.Start(s.baseCtx, req)
+	reader := &answerReader{answer: answer, keepAlive: svc.Timeout, settle: settle, callerGone: peerClosedFunc(c.RequestCtx().Conn())}
+	b := &responseBody{conn: c.RequestCtx().Conn(), writeTimeout: s.cfg.WriteTimeout, answerReader: reader, onRefused: s.refusalReporter(caller)}
 	if !req.Repeatable {
-		// The service may be acting on the call already. Cutting it off would
-		// leave an outcome that nobody knows, and a caller that comes back with
-		// its key would be told so for ever; the call is short, so it runs on.
-		f.gone = func() bool { return false }
-		b.after = func(rest func()) { s.work.Go(rest) }
+		// The service may already be processing the call. Cancelling it would leave
+		// its outcome unknown, and a caller that retries with the same key would
+		// get that result every time. Calls are short, so this one runs to its end.
+		reader.callerGone = func() bool { return false }
+		b.runInBackground = func(rest func()) { s.background.Go(rest) }
 	}
-	return s.answerCall(c, who, b, newRecord(ticket, int(who.conf.Limits().ClaimAnswer)))
+	return s.answerCall(c, caller, b, newAnswerRecorder(callClaim, int(caller.conf.Limits().ClaimAnswer)))
 }
 
-func (s *Server) parseCall(c fiber.Ctx, who *caller) (*entry.Request, *fleetconfig.Service, *api.Error) {
-	// The HTTP library's path is decoded and cleaned; the original goes on.
+func (s *Server) parseCall(c fiber.Ctx, caller *callerInfo) (*entry.Request, *fleetconfig.Service, *api.Error) {
+	// The service is looked up by the cleaned path, in which percent-encoded
+	// characters are not decoded. The service receives the original URL.
 	clean := path.Clean("/" + strings.Clone(c.Path()))
-	svc, ok := who.conf.ServiceByPath(clean)
-	if !ok || !who.customer.AllowsService(svc.ID) {
+	svc, ok := caller.conf.ServiceByPath(clean)
+	if !ok || !caller.customer.AllowsService(svc.ID) {
 		return nil, nil, refusal(api.StepParse, api.ReasonUnknownService, fmt.Sprintf("nothing is served at %s", clean))
 	}
 	body := c.Body()
 	if len(body) > int(svc.MaxBody) {
 		return nil, nil, refusal(api.StepParse, api.ReasonTooLarge, fmt.Sprintf("the body is larger than %s", svc.MaxBody))
 	}
-	req := s.newRequest(c, who)
+	req := s.newRequest(c, caller)
 	req.Service = svc.ID
 	req.Query.Service = svc.ID
 	req.Method = strings.Clone(c.Method())
 	req.Path = strings.Clone(c.OriginalURL())
-	req.Headers = requestHeaders(c, who)
+	req.Headers = requestHeaders(c, caller)
 	req.Body = bytes.Clone(body)
 	req.Timeout = svc.Timeout
 	req.Repeatable = svc.MayRepeat(req.Method)
 	return req, svc, nil
 }
 
-// requestHeaders copies the headers that go on to the service.
-func requestHeaders(c fiber.Ctx, who *caller) []wire.Header {
+// requestHeaders returns the request headers to pass on to the service, and a header
+// with the customer ID. Headers that start with Almondseam- are dropped, so that a
+// caller cannot set the customer ID itself.
+func requestHeaders(c fiber.Ctx, caller *callerInfo) []wire.Header {
 	drop := connectionNames(c.Get(fiber.HeaderConnection))
 	var out []wire.Header
 	for k, v := range c.RequestCtx().Request.Header.All() {
@@ -95,10 +99,10 @@
 		}
 		out = append(out, wire.Header{Name: string(k), Value: string(v)})
 	}
-	return append(out, wire.Header{Name: "Almondseam-Customer", Value: string(who.customer.ID)})
+	return append(out, wire.Header{Name: "Almondseam-Customer", Value: string(caller.customer.ID)})
 }
 
-// connectionNames gives the headers that a Connection header names.
+// connectionNames returns the names listed in a Connection header, in lower case.
 func connectionNames(v string) map[string]bool {
 	out := make(map[string]bool)
 	for name := range strings.SplitSeq(v, ",") {
@@ -107,32 +111,33 @@
 	return out
 }
 
-// ticket makes the claim of a call that must not be repeated. A call without an
-// Idempotency-Key needs none: nobody can name it again, and this entry sends it
-// once.
-func (s *Server) ticket(c fiber.Ctx, who *caller, req *entry.Request) (*ticket, *api.Error) {
-	key := strings.Clone(c.Get(HeaderIdempotent))
+// callClaim returns the claim of a call that must not be repeated. It returns nil if
+// the call may be repeated or has no Idempotency-Key: without a key, no other request
+// can refer to the call, and this entry dispatches it at most once.
+func (s *Server) callClaim(c fiber.Ctx, caller *callerInfo, req *entry.Request) (*callClaim, *api.Error) {
+	key := strings.Clone(c.Get(HeaderIdempotencyKey))
 	if req.Repeatable || key == "" {
 		return nil, nil
 	}
-	if len(key) > maxKey {
-		return nil, refusal(api.StepClaim, api.ReasonBadRequest, fmt.Sprintf("the %s is longer than %d bytes", HeaderIdempotent, maxKey))
+	if len(key) > maxIdempotencyKey {
+		return nil, refusal(api.StepClaim, api.ReasonBadRequest, fmt.Sprintf("the %s is longer than %d bytes", HeaderIdempotencyKey, maxIdempotencyKey))
 	}
 	if s.claimer == nil {
 		return nil, refusal(api.StepClaim, api.ReasonControlUnavailable, "this entry has no control group to claim the key with")
 	}
-	return &ticket{
+	return &callClaim{
 		server: s,
-		key:    claim.Key{Customer: who.customer.ID, Name: key},
+		key:    claim.Key{Customer: caller.customer.ID, Name: key},
 		digest: digest(req),
-		id:     who.id,
+		id:     caller.id,
 	}, nil
 }
 
-// maxKey bounds an Idempotency-Key in bytes.
-const maxKey = 255
+// maxIdempotencyKey is the maximum length of an Idempotency-Key in bytes.
+const maxIdempotencyKey = 255
 
-// digest tells two calls under one key apart: method, path and body.
+// digest returns a hash of method, path and body, which distinguishes different calls
+// that use the same key.
 func digest(req *entry.Request) claim.Digest {
 	h := sha256.New()
 	for _, part := range [][]byte{[]byte(req.Method), []byte(req.Path), req.Body} {
@@ -142,41 +147,44 @@
 	return claim.Digest(h.Sum(nil))
 }
 
-func writeKept(c fiber.Ctx, k *kept) error {
-	for _, h := range k.Headers {
+// writeStoredAnswer responds with the stored answer of an earlier call with the same
+// key.
+func writeStoredAnswer(c fiber.Ctx, answer *storedAnswer) error {
+	for _, h := range answer.Headers {
 		c.RequestCtx().Response.Header.Add(h.Name, h.Value)
 	}
 	c.Set(HeaderOutcome, string(api.OutcomeCompleted))
 	c.Set("Almondseam-Replayed", "true")
-	return c.Status(k.Status).Send(k.Body)
+	return c.Status(answer.Status).Send(answer.Body)
 }
 
-func (s *Server) answerCall(c fiber.Ctx, who *caller, b *body, rec *record) error {
-	f := b.feed
-	b.r = rec
+func (s *Server) answerCall(c fiber.Ctx, caller *callerInfo, b *responseBody, recorder *answerRecorder) error {
+	reader := b.answerReader
+	b.format = recorder
 	for {
-		e := f.next(f.keep)
+		e := reader.next(reader.keepAlive)
 		switch e.Kind {
 		case entry.EventEnd:
-			rec.settle(e.End)
-			f.Close()
-			if rec.ticket != nil && rec.ticket.kept != nil {
-				return writeKept(c, rec.ticket.kept)
+			recorder.settle(e.End)
+			reader.Close()
+			if recorder.callClaim != nil && recorder.callClaim.storedAnswer != nil {
+				return writeStoredAnswer(c, recorder.callClaim.storedAnswer)
 			}
-			return s.writeError(c, who.customerID(), who.id, e.End)
+			return s.writeError(c, caller.customerID(), caller.id, e.End)
 		case entry.EventHead:
-			length := copyHead(c, e.Head, rec)
+			length := copyResponseHead(c, e.Head, recorder)
 			c.RequestCtx().Response.SetBodyStream(b, length)
 			return nil
 		}
 	}
 }
 
-// copyHead gives the service's status and headers to the caller. It returns
-// the body's length, -1 when it is not known.
-func copyHead(c fiber.Ctx, h *wire.Head, rec *record) int {
+// copyResponseHead sets the status and headers of the service's response on the
+// response to the caller and records them for the claim. It returns the length of the
+// body, or -1 if it is unknown.
+func copyResponseHead(c fiber.Ctx, h *wire.Head, recorder *answerRecorder) int {
 	c.Status(h.Status)
-	rec.head(h)
+	recorder.recordHead(h)
 	drop := connectionNames(headerValue(h, "connection"))
 	length := -1
 	for _, line := range h.Headers {
--- a/node/callers/pure_test.go
+++ b/node/callers/pure_test.go
@@ -31,50 +31,50 @@
 `
 )
 
-func testLive(t testing.TB, keep string) *fleetconfig.Live {
-	f, err := fleetconfig.Parse(fleetconfig.File{Name: "test.yaml", Data: fmt.Appendf(nil, testConf, fleetconfig.KeySum(deskKey), keep)})
+func testLive(t testing.TB, keepAlive string) *fleetconfig.Live {
+	f, err := fleetconfig.Parse(fleetconfig.File{Name: "test.yaml", Data: fmt.Appendf(nil, testConf, fleetconfig.KeySum(deskKey), keepAlive)})
 	qt.Assert(t, err, qt.IsNil)
 	live := &fleetconfig.Live{}
 	live.Publish(fleetconfig.Compile(f).At(1, "lhr"))
 	return live
 }
 
-func desk(t testing.TB) *caller {
+func testCaller(t testing.TB) *callerInfo {
 	conf := testLive(t, "100ms").Load()
 	cust, ok := conf.CustomerByKey(deskKey)
 	qt.Assert(t, ok, qt.IsTrue)
-	return &caller{conf: conf, customer: cust, id: "r1"}
+	return &callerInfo{conf: conf, customer: cust, id: "r1"}
 }
 
-// The caller of a bad body gets a clear refusal, with a proof that nothing ran.
+// An invalid body is refused with a specific reason and the outcome not_run.
 func TestParseBody(t *testing.T) {
-	who := desk(t)
+	caller := testCaller(t)
 	for name, tc := range map[string]struct {
 		body string
 		want api.Reason
 	}{
-		"chat":                  {`{"model":"standin","messages":[{"role":"user","content":"x"}]}`, ""},
-		"empty":                 {``, api.ReasonBadRequest},
-		"null":                  {`null`, api.ReasonUnknownModel},
-		"array":                 {`[]`, api.ReasonBadRequest},
-		"cut short":             {`{"model":"standin"`, api.ReasonBadRequest},
-		"two objects":           {`{"model":"standin"}{}`, api.ReasonBadRequest},
-		"no messages":           {`{"model":"standin","messages":[]}`, api.ReasonBadRequest},
-		"prompt to chat":        {`{"model":"standin","prompt":"x"}`, api.ReasonBadRequest},
-		"messages of text":      {`{"model":"standin","messages":"x"}`, api.ReasonBadRequest},
-		"stream of text":        {`{"model":"standin","messages":[1],"stream":"yes"}`, api.ReasonBadRequest},
-		"no such model":         {`{"model":"gone","messages":[1]}`, api.ReasonUnknownModel},
-		"not allowed":           {`{"model":"secret","messages":[1]}`, api.ReasonUnknownModel},
-		"allowed in other case": {`{"model":"secret","Model":"standin","messages":[1]}`, api.ReasonUnknownModel},
-		"zero tokens":           {`{"model":"standin","messages":[1],"max_tokens":0}`, api.ReasonBadRequest},
-		"tokens of a fraction":  {`{"model":"standin","messages":[1],"max_tokens":1.5}`, api.ReasonBadRequest},
-		"too long":              {`{"model":"standin","messages":["` + strings.Repeat("x", 500) + `"]}`, api.ReasonTooLarge},
+		"chat":                        {`{"model":"standin","messages":[{"role":"user","content":"x"}]}`, ""},
+		"empty":                       {``, api.ReasonBadRequest},
+		"null":                        {`null`, api.ReasonUnknownModel},
+		"array":                       {`[]`, api.ReasonBadRequest},
+		"truncated":                   {`{"model":"standin"`, api.ReasonBadRequest},
+		"two objects":                 {`{"model":"standin"}{}`, api.ReasonBadRequest},
+		"no messages":                 {`{"model":"standin","messages":[]}`, api.ReasonBadRequest},
+		"prompt instead of messages":  {`{"model":"standin","prompt":"x"}`, api.ReasonBadRequest},
+		"messages is a string":        {`{"model":"standin","messages":"x"}`, api.ReasonBadRequest},
+		"stream is a string":          {`{"model":"standin","messages":[1],"stream":"yes"}`, api.ReasonBadRequest},
+		"unknown model":               {`{"model":"gone","messages":[1]}`, api.ReasonUnknownModel},
+		"model not allowed":           {`{"model":"secret","messages":[1]}`, api.ReasonUnknownModel},
+		"allowed model in other case": {`{"model":"secret","Model":"standin","messages":[1]}`, api.ReasonUnknownModel},
+		"max_tokens is zero":          {`{"model":"standin","messages":[1],"max_tokens":0}`, api.ReasonBadRequest},
+		"max_tokens is a fraction":    {`{"model":"standin","messages":[1],"max_tokens":1.5}`, api.ReasonBadRequest},
+		"prompt too long":             {`{"model":"standin","messages":["` + strings.Repeat("x", 500) + `"]}`, api.ReasonTooLarge},
 	} {
 		t.Run(name, func(t *testing.T) {
 			c := qt.New(t)
-			p, err := parseBody(&entry.Request{}, who, []byte(tc.body), true, "")
+			p, err := parseBody(&entry.Request{}, caller, []byte(tc.body), true, "")
 			if tc.want == "" {
-				c.Assert(err == nil, qt.IsTrue) // a typed nil is no nil to IsNil
+				c.Assert(err == nil, qt.IsTrue) // qt.IsNil rejects an error that is a typed nil
 				c.Assert(p.req.Size.MaxTokens, qt.Equals, 50)
 				return
 			}
@@ -85,8 +85,8 @@
 	}
 }
 
-// FuzzBody: whatever is accepted here is, to an engine that goes by exact names,
-// a request for the same model, within the model's bounds, byte for byte.
+// Every accepted body is passed on unchanged, and an engine that reads fields by their
+// exact names finds the same model in it, within the model's limits.
 func FuzzBody(f *testing.F) {
 	for _, s := range []string{
 		`{"model":"standin","messages":[{"role":"user","content":"x"}],"stream":true,"stream_options":{"include_usage":true}}`,
@@ -96,10 +96,10 @@
 		f.Add([]byte(s), true)
 		f.Add([]byte(s), false)
 	}
-	who := desk(f)
+	caller := testCaller(f)
 	f.Fuzz(func(t *testing.T, body []byte, chat bool) {
 		before := string(body)
-		p, err := parseBody(&entry.Request{}, who, body, chat, "")
+		p, err := parseBody(&entry.Request{}, caller, body, chat, "")
 		if err != nil {
 			qt.Assert(t, err.Outcome, qt.Equals, api.OutcomeNotRun)
 			qt.Assert(t, api.Reasons[err.Reason].Status < 500, qt.IsTrue)
@@ -117,6 +117,8 @@
 	})
 }
 
+// Every accepted event ID is complete and keeps its meaning when it is formatted and
+// parsed again.
 func FuzzEventID(f *testing.F) {
 	for _, s := range []string{"", "3.g-1@t1", "3.g@", ".g@t", "3@t", "-1.g@t", "18446744073709551616.g@t", "03.g@t@u", "3.a.b@t", "+3.g@t"} {
 		f.Add(s)
@@ -146,14 +148,14 @@
 	return e
 }
 
-func testParsed(chat, usage bool) *parsed {
-	p := &parsed{req: &entry.Request{}, chat: chat, usage: usage}
+func testGenerationRequest(chat, usage bool) *generationRequest {
+	p := &generationRequest{req: &entry.Request{}, chat: chat, usage: usage}
 	p.req.Size.Model = "standin"
 	return p
 }
 
-// Whatever bytes an engine's text has, the caller's JSON reads as the standard
-// library would have written it.
+// The caller's JSON decodes to the same string as that of encoding/json, whatever bytes
+// the engine's text contains.
 func TestEscapingAgreesWithTheStandardLibrary(t *testing.T) {
 	c := qt.New(t)
 	rng := rand.New(rand.NewPCG(1, 2))
@@ -172,6 +174,8 @@
 	}
 }
 
+// Each event carries the ID of the request and an event ID with the offset of the next
+// item. A chunk with usage only is sent if the caller asked for usage.
 func TestEvents(t *testing.T) {
 	usage := rawItem(`{"id":"engine","choices":[],"usage":{"total_tokens":3}}`)
 	finish := rawItem(`{"id":"engine","choices":[{"index":0,"delta":{},"finish_reason":"stop"}]}`)
@@ -184,7 +188,7 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			c := qt.New(t)
-			r := newSSE("r1", testParsed(true, tc.usage), time.Unix(5, 0))
+			r := newSSE("r1", testGenerationRequest(true, tc.usage), time.Unix(5, 0))
 			out, err := r.render(nil, itemsEvent(textItem("a\nb"), finish, usage))
 			c.Assert(err, qt.IsNil)
 			var ids []string
@@ -203,14 +207,14 @@
 	}
 }
 
-// A stream that did not complete has no end mark, else a client library would
-// take the part for the whole.
+// A stream that did not complete has no [DONE] marker. Otherwise a client library would
+// take the partial answer for the complete one.
 func TestStreamEnds(t *testing.T) {
 	c := qt.New(t)
-	r := newSSE("r1", testParsed(false, false), time.Unix(5, 0))
-	out, _, cut := r.end(nil, entry.End{Outcome: api.OutcomeCompleted})
+	r := newSSE("r1", testGenerationRequest(false, false), time.Unix(5, 0))
+	out, _, truncate := r.end(nil, entry.End{Outcome: api.OutcomeCompleted})
 	c.Assert(string(out), qt.Equals, "data: [DONE]\n\n")
-	c.Assert(cut, qt.IsFalse)
+	c.Assert(truncate, qt.IsFalse)
 	for _, o := range []api.Outcome{api.OutcomeInterrupted, api.OutcomeUnknown, api.OutcomeNotRun} {
 		out, _, _ = r.end(nil, entry.End{Outcome: o, Reason: api.ReasonEngineDied})
 		c.Assert(string(out), qt.Not(qt.Contains), "[DONE]")
@@ -222,8 +226,8 @@
 	}
 }
 
-// The caller of a whole answer gets what a non-streaming engine would have
-// said, gathered from pieces; an answer without a finish reason is an error.
+// An answer collected from chunks equals the response of a non-streaming engine. An
+// answer without a finish reason is an error.
 func TestWhole(t *testing.T) {
 	finish := func(i int, why string) []byte {
 		return rawItem(fmt.Sprintf(`{"choices":[{"index":%d,"delta":{},"finish_reason":%q}],"usage":null}`, i, why))
@@ -237,7 +241,7 @@
 		"completion": {false, [][]byte{textItem("a"), rawItem(`{"choices":[{"index":0,"text":"b","finish_reason":"length"}]}`)}, `[{"index":0,"text":"ab","logprobs":null,"finish_reason":"length"}]`},
 		"choices out of order": {true, [][]byte{rawItem(`{"choices":[{"index":1,"delta":{"content":"y"}}]}`), textItem("x"), finish(1, "stop"), finish(0, "length")},
 			`[{"index":0,"message":{"role":"assistant","content":"x","refusal":null},"logprobs":null,"finish_reason":"length"},{"index":1,"message":{"role":"assistant","content":"y","refusal":null},"logprobs":null,"finish_reason":"stop"}]`},
-		"tools in pieces": {true, [][]byte{
+		"tool calls in parts": {true, [][]byte{
 			rawItem(`{"choices":[{"index":0,"delta":{"tool_calls":[{"index":0,"id":"c1","type":"function","function":{"name":"book","arguments":""}}]}}]}`),
 			rawItem(`{"choices":[{"index":0,"delta":{"tool_calls":[{"index":1,"id":"c2","type":"function","function":{"name":"pay","arguments":"{}"}}]}}]}`),
 			rawItem(`{"choices":[{"index":0,"delta":{"tool_calls":[{"index":0,"function":{"arguments":"{\"a\":"}}]}}]}`),
@@ -248,21 +252,21 @@
 			rawItem(`{"choices":[{"index":0,"delta":{"content":"a"},"logprobs":{"content":[{"token":"a"}]}}]}`),
 			rawItem(`{"choices":[{"index":0,"delta":{"content":"b"},"logprobs":{"content":[{"token":"b"}]}}]}`), finish(0, "stop")},
 			`[{"index":0,"message":{"role":"assistant","content":"ab","refusal":null},"logprobs":{"content":[{"token":"a"},{"token":"b"}]},"finish_reason":"stop"}]`},
-		"refusal":                {true, [][]byte{rawItem(`{"choices":[{"index":0,"delta":{"refusal":"no"}}]}`), finish(0, "stop")}, `[{"index":0,"message":{"role":"assistant","content":"","refusal":"no"},"logprobs":null,"finish_reason":"stop"}]`},
-		"no finish reason":       {true, [][]byte{textItem("a")}, ""},
-		"one choice unfinished":  {true, [][]byte{textItem("a"), finish(1, "stop")}, ""},
-		"nothing":                {true, nil, ""},
-		"finish reason of empty": {true, [][]byte{textItem("a"), finish(0, "")}, ""},
+		"refusal":               {true, [][]byte{rawItem(`{"choices":[{"index":0,"delta":{"refusal":"no"}}]}`), finish(0, "stop")}, `[{"index":0,"message":{"role":"assistant","content":"","refusal":"no"},"logprobs":null,"finish_reason":"stop"}]`},
+		"no finish reason":      {true, [][]byte{textItem("a")}, ""},
+		"one choice unfinished": {true, [][]byte{textItem("a"), finish(1, "stop")}, ""},
+		"nothing":               {true, nil, ""},
+		"empty finish reason":   {true, [][]byte{textItem("a"), finish(0, "")}, ""},
 	} {
 		t.Run(name, func(t *testing.T) {
 			c := qt.New(t)
-			w := newWhole("r1", testParsed(tc.chat, true), time.Unix(5, 0))
+			w := newCompletionBuilder("r1", testGenerationRequest(tc.chat, true), time.Unix(5, 0))
 			c.Assert(w.add(itemsEvent(tc.items...)), qt.IsNil)
-			out, told, cut := w.end(nil, entry.End{Outcome: api.OutcomeCompleted})
-			c.Assert(cut, qt.Equals, tc.want == "")
+			out, reported, truncate := w.end(nil, entry.End{Outcome: api.OutcomeCompleted})
+			c.Assert(truncate, qt.Equals, tc.want == "")
 			if tc.want == "" {
 				c.Assert(string(out), qt.Contains, `"outcome":"interrupted"`)
-				c.Assert(told.Reason, qt.Equals, api.ReasonIntegrity)
+				c.Assert(reported.Reason, qt.Equals, api.ReasonIntegrity)
 				return
 			}
 			var obj struct{ Choices json.RawMessage }
--- a/node/callers/record.go
+++ b/node/callers/record.go
@@ -9,29 +9,31 @@
 	"almondseam.dev/node/wire"
 )
 
-// record passes a plain call's body on and keeps it for the claim's answer, as
-// long as it stays within its bound.
-type record struct {
-	ticket *ticket // nil when the call needs no claim
-	kept   kept
-	bound  int
-	over   bool
-	done   bool
+// answerRecorder passes on the body of a plain call and records the response for the
+// claim, unless the body is larger than maxBytes.
+type answerRecorder struct {
+	callClaim    *callClaim // nil if the call has no claim
+	storedAnswer storedAnswer
+	maxBytes     int
+	overflowed   bool
+	settled      bool
 }
 
-func newRecord(t *ticket, bound int) *record { return &record{ticket: t, bound: bound} }
+func newAnswerRecorder(claim *callClaim, maxBytes int) *answerRecorder {
+	return &answerRecorder{callClaim: claim, maxBytes: maxBytes}
+}
 
-func (r *record) head(h *wire.Head) {
-	r.kept.Status = h.Status
+func (r *answerRecorder) recordHead(h *wire.Head) {
+	r.storedAnswer.Status = h.Status
 	for _, line := range h.Headers {
 		if !hopByHop[strings.ToLower(line.Name)] {
-			r.kept.Headers = append(r.kept.Headers, keptHeader{line.Name, line.Value})
+			r.storedAnswer.Headers = append(r.storedAnswer.Headers, storedHeader{line.Name, line.Value})
 		}
 	}
 }
 
 // render implements renderer.
-func (r *record) render(dst []byte, e entry.Event) ([]byte, error) {
+func (r *answerRecorder) render(dst []byte, e entry.Event) ([]byte, error) {
 	packed := e.Packed
 	if e.Kind != entry.EventItems {
 		return dst, nil
@@ -43,38 +45,40 @@
 		}
 		packed = rest
 		dst = append(dst, item...)
-		r.keep(item)
+		r.appendBody(item)
 	}
 	return dst, nil
 }
 
-func (r *record) keep(item []byte) {
-	if r.ticket == nil || r.over {
+func (r *answerRecorder) appendBody(item []byte) {
+	if r.callClaim == nil || r.overflowed {
 		return
 	}
-	if len(r.kept.Body)+len(item) > r.bound {
-		r.over = true
-		r.kept.Body = nil
+	if len(r.storedAnswer.Body)+len(item) > r.maxBytes {
+		r.overflowed = true
+		r.storedAnswer.Body = nil
 		return
 	}
-	r.kept.Body = append(r.kept.Body, item...)
+	r.storedAnswer.Body = append(r.storedAnswer.Body, item...)
 }
 
-// end implements renderer. A body cut short ends the connection.
-func (r *record) end(dst []byte, e entry.End) ([]byte, entry.End, bool) {
+// end implements renderer. It requests that the connection be closed if the body is
+// incomplete.
+func (r *answerRecorder) end(dst []byte, e entry.End) ([]byte, entry.End, bool) {
 	r.settle(e)
 	return dst, e, e.Outcome != api.OutcomeCompleted
 }
 
-// settle tells the claim how the call ended, once.
-func (r *record) settle(e entry.End) {
-	if r.ticket == nil || r.done {
+// settle reports the outcome of the call, and its recorded response if complete, to the
+// claim. Only the first call has an effect.
+func (r *answerRecorder) settle(e entry.End) {
+	if r.callClaim == nil || r.settled {
 		return
 	}
-	r.done = true
-	if r.over || e.Outcome != api.OutcomeCompleted {
-		r.ticket.settle(e, nil)
+	r.settled = true
+	if r.overflowed || e.Outcome != api.OutcomeCompleted {
+		r.callClaim.settle(e, nil)
 		return
 	}
-	r.ticket.settle(e, &r.kept)
+	r.callClaim.settle(e, &r.storedAnswer)
 }
--- a/node/callers/server.go
+++ b/node/callers/server.go
@@ -1,5 +1,8 @@
-// Package callers is the callers' side of an entry: OpenAI-compatible
-// generation over HTTP and plain calls to services.
+// Package callers implements the HTTP interface through which an entry serves callers:
+// OpenAI-compatible generation, and plain calls, which are passed on to a service.
+//
+// An entry is the process that accepts callers' requests, and an agent is the process
+// beside a target, which runs the requests there.
 package callers
 
 import (
@@ -18,35 +21,37 @@
 
 // Headers that callers and this system exchange.
 const (
-	HeaderRequestID  = "Almondseam-Request-Id"
-	HeaderOutcome    = "Almondseam-Outcome"
-	HeaderReason     = "Almondseam-Reason"
-	HeaderHold       = "Almondseam-Hold"
-	HeaderPatience   = "Almondseam-Patience"
-	HeaderKind       = "X-Almondseam-Kind"
-	HeaderIdempotent = "Idempotency-Key"
-	headerXRequestID = "X-Request-Id"
-	headerLastEvent  = "Last-Event-ID"
+	HeaderRequestID      = "Almondseam-Request-Id"
+	HeaderOutcome        = "Almondseam-Outcome"
+	HeaderReason         = "Almondseam-Reason"
+	HeaderHold           = "Almondseam-Hold"
+	HeaderPatience       = "Almondseam-Patience"
+	HeaderKind           = "X-Almondseam-Kind"
+	HeaderIdempotencyKey = "Idempotency-Key"
+	headerXRequestID     = "X-Request-Id"
+	headerLastEvent      = "Last-Event-ID"
 )
 
-// Dispatcher is the entry as this package uses it. Methods are called from
-// several goroutines.
+// Dispatcher starts and resumes requests; entry.Entry implements it. Its methods are
+// called from several goroutines.
 type Dispatcher interface {
 	Start(ctx context.Context, r *entry.Request) *entry.Answer
 	Resume(ctx context.Context, r *entry.Request, from entry.ResumePoint) (*entry.Answer, error)
 }
 
-// Limiter grants a customer a request. It is called from several goroutines. It
-// waits for no other process, but for a customer's first request here, shortly.
+// Limiter enforces the limits of customers. It is called from several goroutines. It
+// does not wait for other processes, except briefly for a customer's first request at
+// this entry.
 type Limiter interface {
-	// Acquire charges an estimate of tokens. A refusal has Outcome not_run and
-	// says when to come back. settle is called once with the tokens used, zero
-	// when the request did not run.
+	// Acquire admits a request and charges an estimated number of tokens, or returns a
+	// refusal with outcome not_run and a RetryAfter. settle must be called once with
+	// the number of tokens used, which is zero if the request did not run.
 	Acquire(c *fleetconfig.Customer, tokens int, now time.Time) (settle func(used int), err *api.Error)
 }
 
-// Observer hears of each request that a caller is told has ended short of its
-// whole answer, once, wherever it is told. Called from several goroutines.
+// Observer is notified of each request whose caller is told that it ended without a
+// complete answer, once per request, and of each connection that is closed without a
+// response because there are too many. Its method is called from several goroutines.
 type Observer interface {
 	Refused(c api.CustomerID, reason api.Reason)
 }
@@ -55,16 +60,17 @@
 
 func (noObserver) Refused(api.CustomerID, api.Reason) {}
 
-// Config of the callers' interface. Zero values take the defaults below.
+// Config holds the settings of the callers' interface. Zero values select the defaults
+// below.
 type Config struct {
-	// MaxBody and MaxHeader bound what is read before the configuration in
-	// force is looked at, which may be stricter. MaxConnections holds while
-	// none is in force.
+	// MaxBody and MaxHeader bound what the HTTP library reads of a request. The
+	// configuration in force may set a lower limit on the body. MaxConnections
+	// applies until a configuration is in force.
 	MaxBody        int
 	MaxHeader      int
 	MaxConnections int
-	// ReadTimeout bounds reading one request, so that a slow writer holds a
-	// connection but not for ever; WriteTimeout one write of a slow reader.
+	// ReadTimeout bounds the time to read one request, so that a slow caller can't
+	// occupy a connection forever. WriteTimeout bounds one write to a slow reader.
 	ReadTimeout  time.Duration
 	WriteTimeout time.Duration
 	IdleTimeout  time.Duration
@@ -82,27 +88,29 @@
 	DefaultIdleTimeout    = 90 * time.Second
 )
 
-// hardConnections is the HTTP library's own bound, beyond the largest that the
-// configuration may set: what it refuses by itself is not counted.
-const hardConnections = 1_000_000 + spareConnections
+// maxServerConnections is the HTTP library's own limit. It is above the largest limit
+// that the configuration may set, because connections that the library itself refuses
+// are not counted.
+const maxServerConnections = 1_000_000 + spareConnections
 
-// Server serves callers. Make it with New.
+// Server serves callers. Use New to create one.
 type Server struct {
-	cfg      Config
-	app      *fiber.App
-	live     *fleetconfig.Live
-	entry    Dispatcher
-	limiter  Limiter
-	claimer  Claimer
-	obs      Observer
-	draining atomic.Bool
-	work     conc.WaitGroup // calls that run on without their caller
-	base     context.Context
-	abort    context.CancelFunc
+	cfg        Config
+	app        *fiber.App
+	live       *fleetconfig.Live
+	entry      Dispatcher
+	limiter    Limiter
+	claimer    Claimer
+	obs        Observer
+	draining   atomic.Bool
+	background conc.WaitGroup // calls whose caller has disconnected, and reports to the control group
+	baseCtx    context.Context
+	cancelBase context.CancelFunc
 }
 
-// Ports couples the server to the rest of an entry. Claimer and Observer may
-// be nil: without a Claimer calls that must not be repeated are refused.
+// Ports holds what the server needs from the rest of the entry. Claimer and Observer
+// may be nil; without a Claimer, calls with an Idempotency-Key that must not be
+// repeated are refused.
 type Ports struct {
 	Live     *fleetconfig.Live
 	Entry    Dispatcher
@@ -111,23 +119,23 @@
 	Observer Observer
 }
 
-// New makes a server that is not yet serving.
+// New returns a server that does not accept connections until Serve is called.
 func New(cfg Config, p Ports) *Server {
 	cfg = cfg.withDefaults()
 	s := &Server{cfg: cfg, live: p.Live, entry: p.Entry, limiter: p.Limiter, claimer: p.Claimer, obs: p.Observer}
 	if s.obs == nil {
 		s.obs = noObserver{}
 	}
-	s.base, s.abort = context.WithCancel(context.Background())
+	s.baseCtx, s.cancelBase = context.WithCancel(context.Background())
 	s.app = fiber.New(fiber.Config{
 		AppName:           "almondseam",
 		BodyLimit:         cfg.MaxBody,
 		ReadBufferSize:    cfg.MaxHeader,
-		Concurrency:       hardConnections,
+		Concurrency:       maxServerConnections,
 		ReadTimeout:       cfg.ReadTimeout,
 		WriteTimeout:      cfg.WriteTimeout,
 		IdleTimeout:       cfg.IdleTimeout,
-		ErrorHandler:      s.onError,
+		ErrorHandler:      s.handleError,
 		StrictRouting:     false,
 		UnescapePath:      false,
 		CaseSensitive:     true,
@@ -156,30 +164,30 @@
 	s.app.Get("/v1/models/:id", s.model)
 	s.app.Post(pathChat, s.generate)
 	s.app.Post(pathCompletions, s.generate)
-	// All, not Use: after an error in reading a request, such as a body beyond
-	// its bound or one that was never sent whole, the HTTP library still runs
-	// what is in use. The call would be made without its body, while its caller
-	// is told that it did not run.
+	// This must be All, not Use. After an error in reading a request, such as a
+	// body that is too large or was not sent completely, the HTTP library still
+	// runs the handlers that were registered with Use. The call would then be
+	// made without its body, while its caller is told that it did not run.
 	s.app.All("/*", s.call)
 }
 
-// Serve answers on ln until Drain.
+// Serve accepts connections on ln and serves requests until Drain is called.
 func (s *Server) Serve(ln net.Listener) error {
-	return s.app.Listener(newConnections(ln, s.live, s.obs, int64(s.cfg.MaxConnections)), fiber.ListenConfig{DisableStartupMessage: true})
+	return s.app.Listener(newLimitedListener(ln, s.live, s.obs, int64(s.cfg.MaxConnections)), fiber.ListenConfig{DisableStartupMessage: true})
 }
 
-// Drain stops accepting connections, closes idle ones and waits until every
-// response has been written or ctx is done. Requests that still arrive on open
-// connections are refused as not run. What runs on in the background, such as
-// settlements that find no majority, is ended when ctx is done.
+// Drain stops accepting connections, closes idle ones and waits until every response
+// has been written or ctx is done. Requests that still arrive on open connections are
+// refused as not run. When ctx is done, background work is aborted, such as a report to
+// a control group that has no majority.
 func (s *Server) Drain(ctx context.Context) error {
 	s.draining.Store(true)
 	err := s.app.ShutdownWithContext(ctx)
-	stop := context.AfterFunc(ctx, s.abort)
+	stop := context.AfterFunc(ctx, s.cancelBase)
 	defer stop()
-	s.work.Wait()
+	s.background.Wait()
 	return err
 }
 
-// Abort ends all requests in progress: the hard stop.
-func (s *Server) Abort() { s.abort() }
+// Abort immediately ends all requests in progress and the background work.
+func (s *Server) Abort() { s.cancelBase() }
--- a/node/callers/server_test.go
+++ b/node/callers/server_test.go
@@ -27,38 +27,39 @@
 )
 
 func TestMain(m *testing.M) {
-	// The server library keeps a clock for the Date header and an idle-worker
-	// sweep that sleeps on after Shutdown; neither holds anything of ours.
+	// Two goroutines of the HTTP library keep running after Shutdown: the clock for
+	// the Date header and the cleaner of idle workers. Neither holds a resource of
+	// this package.
 	goleak.VerifyTestMain(m,
 		goleak.IgnoreAnyFunction("github.com/valyala/fasthttp.(*workerPool).Start.func2"),
 		goleak.IgnoreAnyFunction("github.com/valyala/fasthttp.updateServerDate.func1"))
 }
 
-// fakeAgent answers offers as its test says, on a goroutine of its own.
+// fakeAgent handles offers with a function of the test, on its own goroutine.
 type fakeAgent struct {
-	at      *entry.AgentLink
-	in      chan wire.Message
-	cancels chan *wire.Cancel
-	held    wire.Key // what it accepted last
+	link     *entry.AgentLink
+	inbox    chan wire.Message
+	cancels  chan *wire.Cancel
+	accepted wire.Key // key of the offer accepted last
 }
 
 func (a *fakeAgent) Send(m wire.Message) error {
-	a.in <- m
+	a.inbox <- m
 	return nil
 }
 
 func (a *fakeAgent) Done() <-chan struct{} { return nil }
 
 func (a *fakeAgent) run(do func(a *fakeAgent, o *wire.Offer)) {
-	for m := range a.in {
+	for m := range a.inbox {
 		switch m := m.(type) {
 		case *wire.BidRequest:
-			a.at.Handle(&wire.Bid{Key: m.Key})
+			a.link.Handle(&wire.Bid{Key: m.Key})
 		case *wire.Offer:
 			do(a, m)
 		case *wire.Cancel:
-			if m.Key != a.held {
-				continue // of a bid that wasn't taken
+			if m.Key != a.accepted {
+				continue // cancels a bid that was not chosen
 			}
 			a.cancels <- m
 			a.final(&wire.Offer{Key: m.Key}, api.OutcomeInterrupted, api.ReasonCancelled)
@@ -67,8 +68,8 @@
 }
 
 func (a *fakeAgent) accept(o *wire.Offer) {
-	a.held = o.Key
-	a.at.Handle(&wire.Accepted{Key: o.Key, Generation: "g"})
+	a.accepted = o.Key
+	a.link.Handle(&wire.Accepted{Key: o.Key, Generation: "g"})
 }
 
 func (a *fakeAgent) final(o *wire.Offer, out api.Outcome, why api.Reason, items ...string) {
@@ -76,26 +77,26 @@
 	for _, it := range items {
 		b.Append([]byte(it))
 	}
-	a.at.Handle(&wire.Final{Key: o.Key, Generation: "g", Count: b.End(), Sum: b.Sum(), Outcome: out, Reason: why})
+	a.link.Handle(&wire.Final{Key: o.Key, Generation: "g", Count: b.End(), Sum: b.Sum(), Outcome: out, Reason: why})
 }
 
-// answer gives a whole response.
+// answer sends a complete response.
 func (a *fakeAgent) answer(o *wire.Offer, body string, headers ...wire.Header) {
 	a.accept(o)
-	a.at.Handle(&wire.Head{Key: o.Key, Generation: "g", Status: 201, Headers: headers})
-	a.at.Handle(&wire.Data{Key: o.Key, Generation: "g", N: 1, Packed: stream.Append(nil, []byte(body))})
+	a.link.Handle(&wire.Head{Key: o.Key, Generation: "g", Status: 201, Headers: headers})
+	a.link.Handle(&wire.Data{Key: o.Key, Generation: "g", N: 1, Packed: stream.Append(nil, []byte(body))})
 	a.final(o, api.OutcomeCompleted, "", body)
 }
 
-// fakeLimiter grants everything and counts what is owed.
-type fakeLimiter struct{ open atomic.Int32 }
+// fakeLimiter admits every request and counts those that are not yet settled.
+type fakeLimiter struct{ unsettled atomic.Int32 }
 
 func (l *fakeLimiter) Acquire(*fleetconfig.Customer, int, time.Time) (func(int), *api.Error) {
-	l.open.Add(1)
-	return func(int) { l.open.Add(-1) }, nil
+	l.unsettled.Add(1)
+	return func(int) { l.unsettled.Add(-1) }, nil
 }
 
-// fakeClaimer decides as its test says and keeps the order of what it was told.
+// fakeClaimer decides with a function of the test and logs the calls in order.
 type fakeClaimer struct {
 	decide func(n uint64) (claim.Decision, error)
 	mu     sync.Mutex
@@ -104,7 +105,7 @@
 	last   claim.Report
 }
 
-func (f *fakeClaimer) note(format string, args ...any) {
+func (f *fakeClaimer) record(format string, args ...any) {
 	f.log = append(f.log, fmt.Sprintf(format, args...))
 }
 
@@ -112,27 +113,28 @@
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.claims++
-	f.note("claim at %s", r.Place.Target)
+	f.record("claim at %s", r.Place.Target)
 	return f.decide(f.claims)
 }
 
 func (f *fakeClaimer) Abandon(_ context.Context, k claim.Key, claimant string) error {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.note("abandon %s %v", k.Name, strings.HasSuffix(claimant, "/1"))
+	f.record("abandon %s %v", k.Name, strings.HasSuffix(claimant, "/1"))
 	return nil
 }
 
 func (f *fakeClaimer) Settle(_ context.Context, r claim.Report) error {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.note("settle %d %s", r.Grant, r.Outcome)
+	f.record("settle %d %s", r.Grant, r.Outcome)
 	f.last = r
 	return nil
 }
 
-// front is a server on loopback over a real entry and fake agents t1 and t2.
-type front struct {
+// testServer is a server on a loopback address with a real entry and the fake agents t1
+// and t2.
+type testServer struct {
 	c       *qt.C
 	addr    string
 	agents  []*fakeAgent
@@ -140,26 +142,26 @@
 	stop    func()
 }
 
-func newFront(t *testing.T, cfg Config, claimer Claimer, do func(a *fakeAgent, o *wire.Offer)) *front {
-	return newFrontKeeping(t, "100ms", cfg, claimer, do)
+func newTestServer(t *testing.T, cfg Config, claimer Claimer, do func(a *fakeAgent, o *wire.Offer)) *testServer {
+	return newTestServerWithKeepAlive(t, "100ms", cfg, claimer, do)
 }
 
-// newFrontKeeping is newFront with a keep-alive interval.
-func newFrontKeeping(t *testing.T, keep string, cfg Config, claimer Claimer, do func(a *fakeAgent, o *wire.Offer)) *front {
+// newTestServerWithKeepAlive is like newTestServer, with the given keep-alive interval.
+func newTestServerWithKeepAlive(t *testing.T, keepAlive string, cfg Config, claimer Claimer, do func(a *fakeAgent, o *wire.Offer)) *testServer {
 	c := qt.New(t)
 	e := entry.New(entry.Config{}, entry.NewTablePlacer(routing.Options{Ask: 8, Local: 16, Foreign: 16}), entry.Attempts{Max: 2}, nil)
-	f := &front{c: c, limiter: &fakeLimiter{}}
+	f := &testServer{c: c, limiter: &fakeLimiter{}}
 	var agents []*fakeAgent
 	var work sync.WaitGroup
 	for _, id := range []api.TargetID{"t1", "t2"} {
-		a := &fakeAgent{in: make(chan wire.Message, 100), cancels: make(chan *wire.Cancel, 1)}
-		a.at = e.Attach(a)
+		a := &fakeAgent{inbox: make(chan wire.Message, 100), cancels: make(chan *wire.Cancel, 1)}
+		a.link = e.Attach(a)
 		work.Go(func() { a.run(do) })
-		a.at.Handle(&wire.Announce{Target: id, Incarnation: 1, Zone: "lhr-a", Models: []api.ModelID{"standin"}, Services: []api.ServiceID{"bookings"}})
+		a.link.Handle(&wire.Announce{Target: id, Incarnation: 1, Zone: "lhr-a", Models: []api.ModelID{"standin"}, Services: []api.ServiceID{"bookings"}})
 		agents = append(agents, a)
 	}
 	f.agents = agents
-	srv := New(cfg, Ports{Live: testLive(t, keep), Entry: e, Limiter: f.limiter, Claimer: claimer})
+	srv := New(cfg, Ports{Live: testLive(t, keepAlive), Entry: e, Limiter: f.limiter, Claimer: claimer})
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	c.Assert(err, qt.IsNil)
 	f.addr = ln.Addr().String()
@@ -168,32 +170,33 @@
 		c.Check(srv.Drain(context.Background()), qt.IsNil)
 		e.Wait()
 		for _, a := range agents {
-			a.at.Closed()
-			close(a.in)
+			a.link.Closed()
+			close(a.inbox)
 		}
 		work.Wait()
-		c.Check(f.limiter.open.Load(), qt.Equals, int32(0))
+		c.Check(f.limiter.unsettled.Load(), qt.Equals, int32(0))
 	})
 	t.Cleanup(f.stop)
 	return f
 }
 
-// conn is one caller's connection.
-type conn struct {
+// callerConn is the connection of a caller.
+type callerConn struct {
 	net.Conn
 	c  *qt.C
 	br *bufio.Reader
 }
 
-func (f *front) dial() *conn {
+func (f *testServer) dial() *callerConn {
 	nc, err := net.Dial("tcp", f.addr)
 	f.c.Assert(err, qt.IsNil)
 	f.c.Cleanup(func() { _ = nc.Close() })
-	return &conn{nc, f.c, bufio.NewReader(nc)}
+	return &callerConn{nc, f.c, bufio.NewReader(nc)}
 }
 
-// ask writes a request; head holds further header lines.
-func (c *conn) ask(method, path, body, head string) *http.Response {
+// request sends a request and reads the head of its response. head holds additional
+// header lines.
+func (c *callerConn) request(method, path, body, head string) *http.Response {
 	_, err := fmt.Fprintf(c, "%s %s HTTP/1.1\r\nHost: h\r\n%sAuthorization: Bearer %s\r\nContent-Length: %d\r\n\r\n%s", method, path, head, deskKey, len(body), body)
 	c.c.Assert(err, qt.IsNil)
 	resp, err := http.ReadResponse(c.br, &http.Request{Method: method})
@@ -201,36 +204,36 @@
 	return resp
 }
 
-func (c *conn) text(r *http.Response) string {
+func (c *callerConn) readBody(r *http.Response) string {
 	b, err := io.ReadAll(r.Body)
 	c.c.Assert(err, qt.IsNil)
 	return string(b)
 }
 
-// The caller sees that its request lives while the engine says nothing, and the
-// engine's work is cancelled when the caller hangs up. A failed write of the next
-// sign of life tells that at the latest; when none is due for long, only a look
-// at the socket does.
+// While the engine is silent, the caller receives keep-alive bytes, and when the caller
+// disconnects, the engine's work is cancelled. A failed write of the next keep-alive
+// byte reveals the disconnect at the latest; if the keep-alive interval is long, only a
+// check of the socket does.
 func TestSilentEngine(t *testing.T) {
 	for name, tc := range map[string]struct {
-		body, sign, keep string
-		signs            int
+		body, want, keepAlive string
+		lines                 int
 	}{
 		"stream":       {`{"model":"standin","prompt":"x","stream":true}`, ": queued position=0\n", "100ms", 3},
 		"whole":        {`{"model":"standin","prompt":"x"}`, "\n", "100ms", 3},
 		"quiet stream": {`{"model":"standin","prompt":"x","stream":true}`, ": queued position=0\n", "60s", 1},
 	} {
 		t.Run(name, func(t *testing.T) {
-			f := newFrontKeeping(t, tc.keep, Config{}, nil, func(a *fakeAgent, o *wire.Offer) { a.accept(o) })
+			f := newTestServerWithKeepAlive(t, tc.keepAlive, Config{}, nil, func(a *fakeAgent, o *wire.Offer) { a.accept(o) })
 			c := f.dial()
-			resp := c.ask("POST", pathCompletions, tc.body, "")
+			resp := c.request("POST", pathCompletions, tc.body, "")
 			f.c.Assert(resp.StatusCode, qt.Equals, 200)
 			br := bufio.NewReader(resp.Body)
-			for range tc.signs {
+			for range tc.lines {
 				line, err := br.ReadString('\n')
 				f.c.Assert(err, qt.IsNil)
 				if line != "\n" {
-					f.c.Assert(line, qt.Equals, tc.sign)
+					f.c.Assert(line, qt.Equals, tc.want)
 				}
 			}
 			f.c.Assert(c.Close(), qt.IsNil)
@@ -242,18 +245,18 @@
 	}
 }
 
-// Headers of one connection stay on it, both ways, and what this system says of
-// the customer cannot be said by the caller.
+// Headers of a single connection are not passed on in either direction, and a caller
+// cannot set the header with the customer ID that the service receives.
 func TestHopByHopHeaders(t *testing.T) {
 	offers := make(chan *wire.Offer, 1)
-	f := newFront(t, Config{}, nil, func(a *fakeAgent, o *wire.Offer) {
+	f := newTestServer(t, Config{}, nil, func(a *fakeAgent, o *wire.Offer) {
 		offers <- o
 		a.answer(o, "ok", wire.Header{Name: "X-Ok", Value: "1"}, wire.Header{Name: "Connection", Value: "X-Secret"},
 			wire.Header{Name: "X-Secret", Value: "1"}, wire.Header{Name: "Keep-Alive", Value: "timeout=5"}, wire.Header{Name: "Content-Length", Value: "2"})
 	})
 	c := f.dial()
-	resp := c.ask("GET", "/bookings/a%2Fb?q=1", "", "X-Good: 1\r\nConnection: keep-alive, X-Private\r\nX-Private: 1\r\nTE: trailers\r\nProxy-Authorization: x\r\nAlmondseam-Customer: other\r\n")
-	f.c.Assert(c.text(resp), qt.Equals, "ok")
+	resp := c.request("GET", "/bookings/a%2Fb?q=1", "", "X-Good: 1\r\nConnection: keep-alive, X-Private\r\nX-Private: 1\r\nTE: trailers\r\nProxy-Authorization: x\r\nAlmondseam-Customer: other\r\n")
+	f.c.Assert(c.readBody(resp), qt.Equals, "ok")
 	f.c.Assert(resp.StatusCode, qt.Equals, 201)
 	f.c.Assert(resp.ContentLength, qt.Equals, int64(2))
 	f.c.Assert(resp.Header.Get("X-Ok"), qt.Equals, "1")
@@ -270,23 +273,23 @@
 	f.c.Assert(got, qt.DeepEquals, []string{"almondseam-customer=desk", "x-good=1"})
 }
 
-// What a request left behind is not changed by the next one on its connection.
-// The HTTP library reads the second into the memory of the first, while the
-// first may still be on its way to an agent.
+// A request is not changed by the next request on its connection. The HTTP library
+// reads the second request into the memory of the first, while the first may still be
+// on its way to an agent.
 func TestRequestOutlivesItsConnectionsMemory(t *testing.T) {
 	offers := make(chan *wire.Offer, 2)
-	f := newFront(t, Config{}, nil, func(a *fakeAgent, o *wire.Offer) {
+	f := newTestServer(t, Config{}, nil, func(a *fakeAgent, o *wire.Offer) {
 		offers <- o
 		if o.Service == "" {
-			a.at.Handle(&wire.Refused{Key: o.Key, Reason: api.ReasonBadRequest})
+			a.link.Handle(&wire.Refused{Key: o.Key, Reason: api.ReasonBadRequest})
 			return
 		}
 		a.answer(o, "ok")
 	})
 	c := f.dial()
-	c.text(c.ask("POST", "/bookings/first", "1111", "X-Name: first\r\n"))
+	c.readBody(c.request("POST", "/bookings/first", "1111", "X-Name: first\r\n"))
 	o := <-offers
-	c.text(c.ask("PUT", "/bookings/other", "2222", "X-Name: other\r\n"))
+	c.readBody(c.request("PUT", "/bookings/other", "2222", "X-Name: other\r\n"))
 	<-offers
 	f.c.Assert(string(o.Body), qt.Equals, "1111")
 	f.c.Assert(o.Path, qt.Equals, "/bookings/first")
@@ -294,17 +297,17 @@
 	f.c.Assert(slices.Contains(o.Headers, wire.Header{Name: "X-Name", Value: "first"}), qt.IsTrue)
 
 	first := `{"model":"standin","prompt":"1111"}`
-	c.text(c.ask("POST", pathCompletions, first, ""))
+	c.readBody(c.request("POST", pathCompletions, first, ""))
 	o = <-offers
-	c.text(c.ask("POST", pathCompletions, strings.Replace(first, "1", "2", -1), ""))
+	c.readBody(c.request("POST", pathCompletions, strings.Replace(first, "1", "2", -1), ""))
 	<-offers
 	f.c.Assert(string(o.Body), qt.Equals, first)
 }
 
-// A request that this entry does not take costs no target anything, and its
-// caller is told not_run.
+// A request that the entry rejects is not offered to any agent, and its caller receives
+// the outcome not_run.
 func TestRefusedAtTheEntry(t *testing.T) {
-	f := newFront(t, Config{MaxBody: 4 << 10, MaxHeader: 4 << 10}, nil, func(_ *fakeAgent, o *wire.Offer) {
+	f := newTestServer(t, Config{MaxBody: 4 << 10, MaxHeader: 4 << 10}, nil, func(_ *fakeAgent, o *wire.Offer) {
 		panic(fmt.Sprintf("offered %s %s %v %d", o.Method, o.Path, o.Headers, len(o.Body)))
 	})
 	for name, tc := range map[string]struct {
@@ -312,21 +315,21 @@
 		status                   int
 		reason                   api.Reason
 	}{
-		"other key":           {"POST", pathChat, "{}", "Authorization: Bearer no\r\n", 401, api.ReasonUnauthenticated},
-		"no JSON":             {"POST", pathChat, "{", "", 400, api.ReasonBadRequest},
-		"no such path":        {"GET", "/none", "", "", 404, api.ReasonUnknownService},
-		"out of its path":     {"GET", "/bookings/../none", "", "", 404, api.ReasonUnknownService},
-		"body of a service":   {"POST", "/bookings", strings.Repeat("x", 1025), "", 413, api.ReasonTooLarge},
-		"body of all":         {"POST", "/bookings", strings.Repeat("x", 4097), "", 413, api.ReasonTooLarge},
-		"header":              {"GET", "/bookings", "", "X-Long: " + strings.Repeat("x", 4097) + "\r\n", 413, api.ReasonTooLarge},
-		"key too long":        {"POST", "/bookings", "", "Idempotency-Key: " + strings.Repeat("k", 256) + "\r\n", 400, api.ReasonBadRequest},
-		"no control group":    {"POST", "/bookings", "", "Idempotency-Key: k\r\n", 503, api.ReasonControlUnavailable},
-		"come back half":      {"POST", pathCompletions, `{"model":"standin","prompt":"x","stream":true}`, "Last-Event-ID: 3.g@t1\r\n", 400, api.ReasonBadRequest},
-		"come back elsewhere": {"POST", pathCompletions, `{"model":"standin","prompt":"x","stream":true}`, "Last-Event-ID: 3.g@t9\r\nAlmondseam-Request-Id: r\r\n", 502, api.ReasonTargetGone},
+		"unknown API key":           {"POST", pathChat, "{}", "Authorization: Bearer no\r\n", 401, api.ReasonUnauthenticated},
+		"invalid JSON":              {"POST", pathChat, "{", "", 400, api.ReasonBadRequest},
+		"unknown path":              {"GET", "/none", "", "", 404, api.ReasonUnknownService},
+		"path with dot segments":    {"GET", "/bookings/../none", "", "", 404, api.ReasonUnknownService},
+		"body over service limit":   {"POST", "/bookings", strings.Repeat("x", 1025), "", 413, api.ReasonTooLarge},
+		"body over server limit":    {"POST", "/bookings", strings.Repeat("x", 4097), "", 413, api.ReasonTooLarge},
+		"header":                    {"GET", "/bookings", "", "X-Long: " + strings.Repeat("x", 4097) + "\r\n", 413, api.ReasonTooLarge},
+		"key too long":              {"POST", "/bookings", "", "Idempotency-Key: " + strings.Repeat("k", 256) + "\r\n", 400, api.ReasonBadRequest},
+		"no control group":          {"POST", "/bookings", "", "Idempotency-Key: k\r\n", 503, api.ReasonControlUnavailable},
+		"resume without request ID": {"POST", pathCompletions, `{"model":"standin","prompt":"x","stream":true}`, "Last-Event-ID: 3.g@t1\r\n", 400, api.ReasonBadRequest},
+		"resume at unknown target":  {"POST", pathCompletions, `{"model":"standin","prompt":"x","stream":true}`, "Last-Event-ID: 3.g@t9\r\nAlmondseam-Request-Id: r\r\n", 502, api.ReasonTargetGone},
 	} {
 		t.Run(name, func(t *testing.T) {
 			c := qt.New(t)
-			resp := f.dial().ask(tc.method, tc.path, tc.body, tc.head)
+			resp := f.dial().request(tc.method, tc.path, tc.body, tc.head)
 			c.Assert(resp.StatusCode, qt.Equals, tc.status)
 			c.Assert(resp.Header.Get(HeaderReason), qt.Equals, string(tc.reason))
 			if tc.reason != api.ReasonTargetGone {
@@ -336,8 +339,8 @@
 	}
 }
 
-// A caller dies, or goes silent, while it writes its booking. What the entry has
-// read is no request: nothing may be offered for it, with half a body or none.
+// A caller disconnects or stops sending in the middle of a body. The entry must not
+// offer the request to an agent, neither with the partial body nor without one.
 func TestBodyNeverWhole(t *testing.T) {
 	for name, silent := range map[string]bool{"cut off": false, "silent": true} {
 		t.Run(name, func(t *testing.T) {
@@ -345,14 +348,14 @@
 			if silent {
 				cfg.ReadTimeout = 50 * time.Millisecond
 			}
-			f := newFront(t, cfg, nil, func(*fakeAgent, *wire.Offer) { panic("offered") })
+			f := newTestServer(t, cfg, nil, func(*fakeAgent, *wire.Offer) { panic("offered") })
 			c := f.dial()
 			_, err := fmt.Fprintf(c, "POST /bookings HTTP/1.1\r\nHost: h\r\nAuthorization: Bearer %s\r\nContent-Length: 9\r\n\r\nhalf", deskKey)
 			f.c.Assert(err, qt.IsNil)
 			if !silent {
 				f.c.Assert(c.Conn.(*net.TCPConn).CloseWrite(), qt.IsNil)
 			}
-			_, _ = io.Copy(io.Discard, c.br) // until the entry has closed
+			_, _ = io.Copy(io.Discard, c.br) // until the entry closes the connection
 		})
 	}
 }
@@ -366,12 +369,12 @@
 	}
 }
 
-// The caller of a booking with a key is told what became of that key. Each case
-// is one decision of the control group and one fate of the dispatch; the log is
-// what the group was told, in order: a grant is given back before the next is
-// asked for, and one that was never learnt is abandoned.
+// A caller that sends a call with an idempotency key is told the outcome of that key.
+// Each case is one decision of the control group and one behaviour of the agent. The
+// log holds the calls to the control group in order: a grant is released before the
+// next one is requested, and a grant that was not received is abandoned.
 func TestClaims(t *testing.T) {
-	keptAnswer, err := cbor.Marshal(kept{Status: 202, Headers: []keptHeader{{"X-Kept", "1"}}, Body: []byte("old")})
+	keptAnswer, err := cbor.Marshal(storedAnswer{Status: 202, Headers: []storedHeader{{"X-Kept", "1"}}, Body: []byte("old")})
 	qt.Assert(t, err, qt.IsNil)
 	granted := decided(claim.Granted, claim.Record{})
 	never := func(*fakeAgent, *wire.Offer) { panic("offered") }
@@ -385,25 +388,25 @@
 		outcome api.Outcome // of the error, "" for an answer
 		log     []string
 	}{
-		"granted":      {granted, ok, 201, "", []string{"claim", "settle 1 completed"}},
-		"long answer":  {granted, func(a *fakeAgent, o *wire.Offer) { a.answer(o, strings.Repeat("b", 65)) }, 201, "", []string{"claim", "settle 1 completed"}},
-		"unknown":      {granted, func(a *fakeAgent, o *wire.Offer) { a.accept(o); a.final(o, api.OutcomeUnknown, api.ReasonEngineDied) }, 502, api.OutcomeUnknown, []string{"claim", "settle 1 unknown"}},
-		"not run once": {granted, refuseFirst(ok), 201, "", []string{"claim", "settle 1 not_run", "claim", "settle 2 completed"}},
-		"in progress":  {decided(claim.InProgress, claim.Record{}), never, 409, api.OutcomeUnknown, []string{"claim"}},
-		"undecided":    {decided(claim.Undecided, claim.Record{}), never, 409, api.OutcomeUnknown, []string{"claim"}},
-		"conflict":     {decided(claim.Conflict, claim.Record{}), never, 422, api.OutcomeNotRun, []string{"claim"}},
-		"answered":     {decided(claim.Answered, claim.Record{Outcome: api.OutcomeCompleted, Kept: true, Answer: keptAnswer}), never, 202, "", []string{"claim"}},
-		"not kept":     {decided(claim.Answered, settled), never, 409, api.OutcomeCompleted, []string{"claim"}},
+		"granted":               {granted, ok, 201, "", []string{"claim", "settle 1 completed"}},
+		"long answer":           {granted, func(a *fakeAgent, o *wire.Offer) { a.answer(o, strings.Repeat("b", 65)) }, 201, "", []string{"claim", "settle 1 completed"}},
+		"unknown":               {granted, func(a *fakeAgent, o *wire.Offer) { a.accept(o); a.final(o, api.OutcomeUnknown, api.ReasonEngineDied) }, 502, api.OutcomeUnknown, []string{"claim", "settle 1 unknown"}},
+		"first attempt not run": {granted, refuseFirst(ok), 201, "", []string{"claim", "settle 1 not_run", "claim", "settle 2 completed"}},
+		"in progress":           {decided(claim.InProgress, claim.Record{}), never, 409, api.OutcomeUnknown, []string{"claim"}},
+		"undecided":             {decided(claim.Undecided, claim.Record{}), never, 409, api.OutcomeUnknown, []string{"claim"}},
+		"conflict":              {decided(claim.Conflict, claim.Record{}), never, 422, api.OutcomeNotRun, []string{"claim"}},
+		"answered":              {decided(claim.Answered, claim.Record{Outcome: api.OutcomeCompleted, Kept: true, Answer: keptAnswer}), never, 202, "", []string{"claim"}},
+		"not kept":              {decided(claim.Answered, settled), never, 409, api.OutcomeCompleted, []string{"claim"}},
 		"no group": {func(uint64) (claim.Decision, error) { return claim.Decision{}, refused }, never, 503, api.OutcomeNotRun,
 			[]string{"abandon k false", "abandon k true", "claim", "claim"}},
 		"full": {decided(claim.Full, claim.Record{}), never, 503, api.OutcomeNotRun, []string{"claim", "claim"}},
 	} {
 		t.Run(name, func(t *testing.T) {
 			group := &fakeClaimer{decide: tc.decide}
-			f := newFront(t, Config{}, group, tc.do)
+			f := newTestServer(t, Config{}, group, tc.do)
 			c := f.dial()
-			resp := c.ask("POST", "/bookings", "{}", "Idempotency-Key: k\r\n")
-			body := c.text(resp)
+			resp := c.request("POST", "/bookings", "{}", "Idempotency-Key: k\r\n")
+			body := c.readBody(resp)
 			f.c.Assert(resp.StatusCode, qt.Equals, tc.status)
 			if tc.outcome != "" {
 				f.c.Assert(resp.Header.Get(HeaderOutcome), qt.Equals, string(tc.outcome))
@@ -416,7 +419,7 @@
 				log = append(log, l)
 			}
 			if name == "no group" {
-				slices.Sort(log) // abandons run beside the next attempt
+				slices.Sort(log) // a claim is abandoned in parallel with the next attempt
 			}
 			f.c.Assert(log, qt.DeepEquals, tc.log)
 			switch name {
@@ -425,7 +428,7 @@
 				f.c.Assert(resp.Header.Get("X-Kept"), qt.Equals, "1")
 				f.c.Assert(resp.Header.Get("Almondseam-Replayed"), qt.Equals, "true")
 			case "granted":
-				var k kept
+				var k storedAnswer
 				f.c.Assert(cbor.Unmarshal(group.last.Answer, &k), qt.IsNil)
 				f.c.Assert(string(k.Body), qt.Equals, "booked")
 			case "long answer":
@@ -435,11 +438,12 @@
 	}
 }
 
-// refuseFirst refuses attempt 1, whichever target has it.
+// refuseFirst refuses attempt 1, whichever agent receives it, and handles later
+// attempts with then.
 func refuseFirst(then func(*fakeAgent, *wire.Offer)) func(*fakeAgent, *wire.Offer) {
 	return func(a *fakeAgent, o *wire.Offer) {
 		if o.Key.Attempt == 1 {
-			a.at.Handle(&wire.Refused{Key: o.Key, Reason: api.ReasonTargetLeaving})
+			a.link.Handle(&wire.Refused{Key: o.Key, Reason: api.ReasonTargetLeaving})
 			return
 		}
 		then(a, o)
--- a/node/callers/sse.go
+++ b/node/callers/sse.go
@@ -16,31 +16,31 @@
 type sse struct {
 	id     api.RequestID
 	usage  bool
-	before []byte // JSON in front of a text delta
-	after  []byte // and behind it
+	prefix []byte // JSON before the text of a delta
+	suffix []byte // JSON after the text of a delta
 }
 
-func newSSE(id api.RequestID, p *parsed, now time.Time) *sse {
+func newSSE(id api.RequestID, p *generationRequest, now time.Time) *sse {
 	s := &sse{id: id, usage: p.usage}
-	object, open, shut := `"chat.completion.chunk"`, `"delta":{"content":`, `},"logprobs":null,"finish_reason":null}]}`
+	object, open, closing := `"chat.completion.chunk"`, `"delta":{"content":`, `},"logprobs":null,"finish_reason":null}]}`
 	if !p.chat {
-		object, open, shut = `"text_completion"`, `"text":`, `,"logprobs":null,"finish_reason":null}]}`
+		object, open, closing = `"text_completion"`, `"text":`, `,"logprobs":null,"finish_reason":null}]}`
 	}
-	s.before = append(s.before, `{"id":`...)
-	s.before = appendString(s.before, string(id))
-	s.before = append(s.before, `,"object":`+object+`,"created":`...)
-	s.before = strconv.AppendInt(s.before, now.Unix(), 10)
-	s.before = append(s.before, `,"model":`...)
-	s.before = appendString(s.before, string(p.req.Size.Model))
-	s.before = append(s.before, `,"choices":[{"index":0,`+open...)
-	s.after = []byte(shut)
+	s.prefix = append(s.prefix, `{"id":`...)
+	s.prefix = appendString(s.prefix, string(id))
+	s.prefix = append(s.prefix, `,"object":`+object+`,"created":`...)
+	s.prefix = strconv.AppendInt(s.prefix, now.Unix(), 10)
+	s.prefix = append(s.prefix, `,"model":`...)
+	s.prefix = appendString(s.prefix, string(p.req.Size.Model))
+	s.prefix = append(s.prefix, `,"choices":[{"index":0,`+open...)
+	s.suffix = []byte(closing)
 	return s
 }
 
 func (s *sse) render(dst []byte, e entry.Event) ([]byte, error) {
 	switch e.Kind {
 	case entry.EventIdle, entry.EventPhase:
-		return comment(dst, e), nil
+		return appendComment(dst, e), nil
 	case entry.EventItems:
 		return s.items(dst, &e)
 	}
@@ -72,12 +72,12 @@
 	dst = appendEventID(dst, e, off)
 	dst = append(dst, "\ndata: "...)
 	if form == chunk.Text {
-		dst = append(dst, s.before...)
+		dst = append(dst, s.prefix...)
 		dst = appendString(dst, string(content))
-		dst = append(dst, s.after...)
+		dst = append(dst, s.suffix...)
 		return append(dst, "\n\n"...), nil
 	}
-	data, show, err := s.raw(content)
+	data, show, err := s.rewriteChunk(content)
 	if err != nil || !show {
 		return dst[:start], err
 	}
@@ -85,9 +85,9 @@
 	return append(dst, "\n\n"...), nil
 }
 
-// raw gives the engine's own chunk under this request's ID. A chunk that only
-// carries usage is kept from a caller that did not ask for it.
-func (s *sse) raw(content []byte) (data []byte, show bool, err error) {
+// rewriteChunk returns the engine's chunk with the ID of this request. show is false
+// for a chunk that only carries usage if the caller did not ask for usage.
+func (s *sse) rewriteChunk(content []byte) (data []byte, show bool, err error) {
 	var fields map[string]json.RawMessage
 	if err := json.Unmarshal(content, &fields); err != nil {
 		return nil, false, err
@@ -100,9 +100,9 @@
 	return data, true, err
 }
 
-// end writes the end mark after a whole answer, and an error object in place of
-// it after any other: client libraries take the object for an error, and the
-// missing mark for a broken stream.
+// end appends the [DONE] marker after a complete answer. After any other end, it
+// appends an error object instead: client libraries report the object as an error, and
+// treat the missing marker as a broken stream.
 func (s *sse) end(dst []byte, e entry.End) ([]byte, entry.End, bool) {
 	if e.Outcome == api.OutcomeCompleted {
 		return append(dst, "data: [DONE]\n\n"...), e, false
@@ -114,7 +114,7 @@
 
 const hexDigits = "0123456789abcdef"
 
-// appendString quotes s as a JSON string.
+// appendString appends s as a quoted JSON string. Invalid UTF-8 is replaced by U+FFFD.
 func appendString(dst []byte, s string) []byte {
 	dst = append(dst, '"')
 	start := 0
--- a/node/callers/whole.go
+++ b/node/callers/whole.go
@@ -13,21 +13,22 @@
 	"almondseam.dev/node/entry"
 )
 
-// errNoFinish reports an answer without a finish reason: it is not whole.
-var errNoFinish = errors.New("callers: the answer has no finish reason")
+// errNoFinishReason reports an answer with no choices, or with a choice that has no
+// finish reason: the answer is incomplete.
+var errNoFinishReason = errors.New("callers: the answer has no finish reason")
 
-// whole gathers a streamed answer into one object.
-type whole struct {
+// completionBuilder collects a streamed answer into one completion object.
+type completionBuilder struct {
 	id      api.RequestID
 	chat    bool
 	model   api.ModelID
 	created int64
-	choices []*wholeChoice
+	choices []*choiceBuilder
 	usage   json.RawMessage
 }
 
-// wholeChoice is one choice as it grows.
-type wholeChoice struct {
+// choiceBuilder collects the parts of one choice.
+type choiceBuilder struct {
 	index    int
 	text     strings.Builder
 	refusal  strings.Builder
@@ -36,7 +37,7 @@
 	logprobs []json.RawMessage
 }
 
-// toolCall is one tool call, whose arguments come in pieces.
+// toolCall is one tool call, collected from the parts that the chunks carry.
 type toolCall struct {
 	Index    int          `json:"-"`
 	ID       string       `json:"id"`
@@ -49,7 +50,7 @@
 	Arguments string `json:"arguments"`
 }
 
-// rawChunk is an engine's chunk as far as it is gathered.
+// rawChunk holds the fields of an engine's chunk that are collected.
 type rawChunk struct {
 	Choices []struct {
 		Index int    `json:"index"`
@@ -72,23 +73,24 @@
 	Usage json.RawMessage `json:"usage"`
 }
 
-func newWhole(id api.RequestID, p *parsed, now time.Time) *whole {
-	return &whole{id: id, chat: p.chat, model: p.req.Size.Model, created: now.Unix()}
+func newCompletionBuilder(id api.RequestID, p *generationRequest, now time.Time) *completionBuilder {
+	return &completionBuilder{id: id, chat: p.chat, model: p.req.Size.Model, created: now.Unix()}
 }
 
-func (w *whole) choice(i int) *wholeChoice {
-	for _, c := range w.choices {
+// choice returns the builder of the choice with index i, and creates it if needed.
+func (cb *completionBuilder) choice(i int) *choiceBuilder {
+	for _, c := range cb.choices {
 		if c.index == i {
 			return c
 		}
 	}
-	c := &wholeChoice{index: i}
-	w.choices = append(w.choices, c)
+	c := &choiceBuilder{index: i}
+	cb.choices = append(cb.choices, c)
 	return c
 }
 
-// add takes an event's items.
-func (w *whole) add(e entry.Event) error {
+// add adds the items of an event.
+func (cb *completionBuilder) add(e entry.Event) error {
 	packed := e.Packed
 	if e.Kind != entry.EventItems {
 		return nil
@@ -99,36 +101,36 @@
 			return err
 		}
 		packed = rest
-		if err := w.addItem(item); err != nil {
+		if err := cb.addItem(item); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-func (w *whole) addItem(item []byte) error {
+func (cb *completionBuilder) addItem(item []byte) error {
 	form, content, err := chunk.Split(item)
 	if err != nil {
 		return err
 	}
 	if form == chunk.Text {
-		w.choice(0).text.Write(content)
+		cb.choice(0).text.Write(content)
 		return nil
 	}
 	var r rawChunk
 	if err := json.Unmarshal(content, &r); err != nil {
 		return err
 	}
-	w.addRaw(&r)
+	cb.addRaw(&r)
 	return nil
 }
 
-func (w *whole) addRaw(r *rawChunk) {
+func (cb *completionBuilder) addRaw(r *rawChunk) {
 	if len(r.Usage) > 0 && string(r.Usage) != "null" {
-		w.usage = r.Usage
+		cb.usage = r.Usage
 	}
 	for _, d := range r.Choices {
-		c := w.choice(d.Index)
+		c := cb.choice(d.Index)
 		c.text.WriteString(d.Text)
 		c.text.WriteString(d.Delta.Content)
 		c.refusal.WriteString(d.Delta.Refusal)
@@ -150,7 +152,7 @@
 	}
 }
 
-func (c *wholeChoice) tool(i int) *toolCall {
+func (c *choiceBuilder) tool(i int) *toolCall {
 	for _, t := range c.tools {
 		if t.Index == i {
 			return t
@@ -161,21 +163,21 @@
 	return t
 }
 
-// object gives the answer as the API's object.
-func (w *whole) object() ([]byte, error) {
-	slices.SortFunc(w.choices, func(a, b *wholeChoice) int { return a.index - b.index })
-	out := completion{ID: w.id, Object: "chat.completion", Created: w.created, Model: w.model, Usage: w.usage}
-	if !w.chat {
+// object returns the completion object as JSON.
+func (cb *completionBuilder) object() ([]byte, error) {
+	slices.SortFunc(cb.choices, func(a, b *choiceBuilder) int { return a.index - b.index })
+	out := completion{ID: cb.id, Object: "chat.completion", Created: cb.created, Model: cb.model, Usage: cb.usage}
+	if !cb.chat {
 		out.Object = "text_completion"
 	}
-	for _, c := range w.choices {
+	for _, c := range cb.choices {
 		if c.finish == "" {
-			return nil, errNoFinish
+			return nil, errNoFinishReason
 		}
-		out.Choices = append(out.Choices, c.object(w.chat))
+		out.Choices = append(out.Choices, c.object(cb.chat))
 	}
 	if len(out.Choices) == 0 {
-		return nil, errNoFinish
+		return nil, errNoFinishReason
 	}
 	return json.Marshal(out)
 }
@@ -204,7 +206,7 @@
 	ToolCalls []*toolCall `json:"tool_calls,omitempty"`
 }
 
-func (c *wholeChoice) object(chat bool) completionChoice {
+func (c *choiceBuilder) object(chat bool) completionChoice {
 	text := c.text.String()
 	out := completionChoice{Index: c.index, Finish: c.finish}
 	if len(c.logprobs) > 0 {
@@ -224,9 +226,9 @@
 	return out
 }
 
-// render implements renderer: white space while the answer grows.
-func (w *whole) render(dst []byte, e entry.Event) ([]byte, error) {
-	if err := w.add(e); err != nil {
+// render implements renderer. It appends white space for events that carry no items.
+func (cb *completionBuilder) render(dst []byte, e entry.Event) ([]byte, error) {
+	if err := cb.add(e); err != nil {
 		return dst, err
 	}
 	if e.Kind == entry.EventItems {
@@ -235,17 +237,17 @@
 	return append(dst, '\n'), nil
 }
 
-// end implements renderer. An answer that is not whole is cut off: with the
-// status long sent, only a broken connection keeps a client library from taking
-// the error object for an answer.
-func (w *whole) end(dst []byte, e entry.End) ([]byte, entry.End, bool) {
+// end implements renderer. An incomplete answer truncates the response: the status has
+// already been sent, so only a broken connection keeps a client library from taking the
+// error object for an answer.
+func (cb *completionBuilder) end(dst []byte, e entry.End) ([]byte, entry.End, bool) {
 	if e.Outcome != api.OutcomeCompleted {
-		return append(dst, errorJSON(w.id, e)...), e, true
+		return append(dst, errorJSON(cb.id, e)...), e, true
 	}
-	out, err := w.object()
+	out, err := cb.object()
 	if err != nil {
 		end := entry.End{Outcome: api.OutcomeInterrupted, Reason: api.ReasonIntegrity, Detail: err.Error()}
-		return append(dst, errorJSON(w.id, end)...), end, true
+		return append(dst, errorJSON(cb.id, end)...), end, true
 	}
 	return append(dst, out...), e, false
 }
