--- a/node/agent/agent_test.go
+++ b/node/agent/agent_test.go
@@ -223,7 +223,7 @@
 			{Key: wire.Key{Request: "r9"}, Generation: gen, Customer: "c1"},
 		} {
 			b.agent.Handle(other, m)
-			b.c.Assert(one[*wire.Returned](b.c, other).Reason, qt.Equals, api.ReasonTargetGone)
+			b.c.Assert(one[*wire.ResumeRefused](b.c, other).Reason, qt.Equals, api.ReasonTargetGone)
 			b.c.Assert(heard[*wire.Data](other), qt.HasLen, 0)
 		}
 		b.agent.Handle(other, &wire.Resume{Key: latest, Generation: gen, Customer: "c1", Offset: 1})
@@ -264,9 +264,9 @@
 		heard[*wire.Data](b.link)
 		b.say(&wire.Ack{Key: key("r1"), Offset: 6})
 		b.say(&wire.Resume{Key: key("r1"), Customer: "c1"})
-		b.c.Assert(one[*wire.Returned](b.c, b.link).Reason, qt.Equals, api.ReasonReplayWindowPassed)
+		b.c.Assert(one[*wire.ResumeRefused](b.c, b.link).Reason, qt.Equals, api.ReasonReplayWindowPassed)
 		b.say(&wire.Resume{Key: key("r1"), Customer: "c1", Offset: 7})
-		b.c.Assert(one[*wire.Returned](b.c, b.link).Reason, qt.Equals, api.ReasonIntegrity)
+		b.c.Assert(one[*wire.ResumeRefused](b.c, b.link).Reason, qt.Equals, api.ReasonIntegrity)
 		b.say(&wire.Resume{Key: key("r1"), Customer: "c1", Offset: 5})
 		b.c.Assert(text(b.c, heard[*wire.Data](b.link)), qt.Equals, item)
 	})
--- a/node/agent/handle.go
+++ b/node/agent/handle.go
@@ -221,7 +221,7 @@
 func (a *Agent) onResume(from sender, m *wire.Resume) {
 	s, reason := a.find(m)
 	if reason != "" {
-		_ = from.Send(&wire.Returned{Key: m.Key, Reason: reason})
+		_ = from.Send(&wire.ResumeRefused{Key: m.Key, Reason: reason})
 		return
 	}
 	if m.Key.Attempt == 0 {
@@ -231,11 +231,11 @@
 	}
 	err := s.attach(from, m.Offset, m.Key.Attempt == 0)
 	if errors.Is(err, stream.ErrBeforeWindow) {
-		_ = from.Send(&wire.Returned{Key: m.Key, Reason: api.ReasonReplayWindowPassed})
+		_ = from.Send(&wire.ResumeRefused{Key: m.Key, Reason: api.ReasonReplayWindowPassed})
 		return
 	}
 	if err != nil {
-		_ = from.Send(&wire.Returned{Key: m.Key, Reason: api.ReasonIntegrity})
+		_ = from.Send(&wire.ResumeRefused{Key: m.Key, Reason: api.ReasonIntegrity})
 	}
 }
 
--- a/node/agent/settings_test.go
+++ b/node/agent/settings_test.go
@@ -65,7 +65,7 @@
 		}
 		resume := func(r api.RequestID) api.Reason {
 			b.say(&wire.Resume{Key: key(r), Customer: "c1"})
-			return one[*wire.Returned](b.c, b.link).Reason
+			return one[*wire.ResumeRefused](b.c, b.link).Reason
 		}
 		publish(b.c, live, 1, "limits: {replay_bytes: 64KiB}")
 		b.pass(time.Second)
--- a/node/entry/entry.go
+++ b/node/entry/entry.go
@@ -193,7 +193,7 @@
 		l.e.deliver(m.Key, m)
 	case *wire.Tombstoned:
 		l.e.deliver(m.Key, m)
-	case *wire.Returned:
+	case *wire.ResumeRefused:
 		l.e.deliver(m.Key, m)
 	}
 }
--- a/node/entry/entry_test.go
+++ b/node/entry/entry_test.go
@@ -270,7 +270,7 @@
 		h.c.Assert(err, qt.IsNil)
 		asked := expect[*wire.Resume](a)
 		a.data(o, "g-t1", 1, "secret") // sent to the owner of the request on the same link
-		a.send(&wire.Returned{Key: asked.Key, Reason: api.ReasonTargetGone})
+		a.send(&wire.ResumeRefused{Key: asked.Key, Reason: api.ReasonTargetGone})
 		got := readAll(early)
 		h.c.Assert(got.text, qt.Equals, "")
 		h.c.Assert(got.end.Reason, qt.Equals, api.ReasonTargetGone)
--- a/node/entry/follow.go
+++ b/node/entry/follow.go
@@ -80,7 +80,7 @@
 		return true, err
 	case *wire.Tombstoned:
 		return true, f.tombstonedError(m)
-	case *wire.Returned:
+	case *wire.ResumeRefused:
 		return true, f.e.newError(f.d, api.StepRelay, f.lostOutcome(), m.Reason, nil)
 	case *wire.Final:
 		return f.final(m)
--- a/node/wire/kinds.go
+++ b/node/wire/kinds.go
@@ -49,7 +49,7 @@
 func (*Resume) Kind() Kind { return KindResume }
 
 // Kind implements Message.
-func (*Returned) Kind() Kind { return KindReturned }
+func (*ResumeRefused) Kind() Kind { return KindResumeRefused }
 
 // Kind implements Message.
 func (*Pace) Kind() Kind { return KindPace }
@@ -73,7 +73,7 @@
 		ProtoOf[Tombstone](),
 		ProtoOf[Tombstoned](),
 		ProtoOf[Resume](),
-		ProtoOf[Returned](),
+		ProtoOf[ResumeRefused](),
 		ProtoOf[Drain](),
 		ProtoOf[Order](),
 		ProtoOf[OrderState](),
--- a/node/wire/messages.go
+++ b/node/wire/messages.go
@@ -25,7 +25,7 @@
 	KindTombstone
 	KindTombstoned
 	KindResume
-	KindReturned
+	KindResumeRefused
 	KindPace
 )
 
@@ -243,8 +243,8 @@
 	Offset     uint64           `cbor:"4,keyasint,omitempty"`
 }
 
-// Returned answers a Resume that the agent rejects.
-type Returned struct {
+// ResumeRefused answers a Resume that the agent rejects.
+type ResumeRefused struct {
 	Key    Key        `cbor:"1,keyasint"`
 	Reason api.Reason `cbor:"2,keyasint"`
 }
