--- a/node/agent/agent.go
+++ b/node/agent/agent.go
@@ -15,7 +15,7 @@
 	"github.com/sourcegraph/conc"
 )
 
-// Config of an agent. Zero values take the defaults below.
+// Config configures an agent. A zero field takes its default below, if there is one.
 type Config struct {
 	Target      api.TargetID
 	Incarnation api.Incarnation
@@ -23,54 +23,61 @@
 	Models      []api.ModelID
 	Services    []api.ServiceID
 	Capacity    int // engine memory in tokens
-	// Links is the number of entries to link to, 0 for all.
+	// Links is the number of entries to link to; 0 means all.
 	Links int
-	// Unacked bounds the bytes of one stream that wait for the caller.
-	Unacked int
-	// Replay bounds the acknowledged bytes kept of one stream, and ReplayTime
-	// how long they are kept after the end.
-	Replay     int
-	ReplayTime time.Duration
-	// Live is the configuration in force, whose replay window, replay time and
-	// bounds of admission go before those given here; nil follows none.
+	// MaxUnackedBytes is the number of unacknowledged bytes of one stream above
+	// which the agent takes no more items from the target.
+	MaxUnackedBytes int
+	// ReplayBytes is the size of the replay window, which holds acknowledged items
+	// of one stream. ReplayTime is how long a request is kept after its end.
+	ReplayBytes int
+	ReplayTime  time.Duration
+	// Live is the configuration in force. Its replay window and replay time take
+	// precedence over ReplayBytes and ReplayTime, and its admission bounds over
+	// those with which the Admitter was created. If Live is nil, the agent follows
+	// no configuration.
 	Live *fleetconfig.Live
-	// Queue bounds the queue whatever the configuration says; zero leaves it to
-	// the configuration.
+	// Queue is the maximum number of queued requests. It takes precedence over the
+	// limit in Live; zero means that Live determines the limit.
 	Queue int
-	// Grace is how long a running request is kept going without a link.
-	Grace time.Duration
-	// TombstoneTime is how long a key stays forbidden.
+	// DisconnectGrace is how long a generation is kept without a link before it is
+	// cancelled.
+	DisconnectGrace time.Duration
+	// TombstoneTime is how long a tombstone is kept and offers of its key are
+	// refused.
 	TombstoneTime time.Duration
-	// Tick is the pace of admission and sweeping.
+	// Tick is the interval at which Run calls Agent.Tick.
 	Tick time.Duration
-	// LoadEvery is the pace of load reports.
-	LoadEvery time.Duration
-	// CallSlots bounds plain calls in progress.
-	CallSlots int
-	Clock     Clock
-	Observer  Observer
+	// LoadInterval is the interval of load reports on a link until its entry
+	// requests another one. It is also the interval at which the engine's own load
+	// is polled.
+	LoadInterval time.Duration
+	// MaxCalls is the maximum number of plain calls in progress.
+	MaxCalls int
+	Clock    Clock
+	Observer Observer
 }
 
 // Defaults of Config.
 const (
-	DefaultUnacked       = 32 << 10
-	DefaultReplay        = 64 << 10
-	DefaultReplayTime    = 2 * time.Minute
-	DefaultGrace         = 30 * time.Second
-	DefaultTombstoneTime = 10 * time.Minute
-	DefaultTick          = 20 * time.Millisecond
-	DefaultLoadEvery     = 250 * time.Millisecond
-	DefaultCallSlots     = 256
+	DefaultMaxUnackedBytes = 32 << 10
+	DefaultReplayBytes     = 64 << 10
+	DefaultReplayTime      = 2 * time.Minute
+	DefaultDisconnectGrace = 30 * time.Second
+	DefaultTombstoneTime   = 10 * time.Minute
+	DefaultTick            = 20 * time.Millisecond
+	DefaultLoadInterval    = 250 * time.Millisecond
+	DefaultMaxCalls        = 256
 )
 
-// Observer hears what the agent decides, for metrics and events. Its methods
-// may be called from several goroutines.
+// Observer is notified of what the agent decides, for metrics and events. Its
+// methods may be called from several goroutines.
 type Observer interface {
 	Accepted(key wire.Key)
 	Refused(key wire.Key, reason api.Reason)
 	Ended(key wire.Key, outcome api.Outcome, reason api.Reason)
-	// LoadFailed is told when the target's load reports begin to fail, not of
-	// each one that does.
+	// LoadFailed is called when the load reports of the target begin to fail, not
+	// for each report that fails.
 	LoadFailed(err error)
 }
 
@@ -82,14 +89,14 @@
 func (noObserver) LoadFailed(error)                        {}
 
 func (c Config) withDefaults() Config {
-	c.Unacked = cmp.Or(c.Unacked, DefaultUnacked)
-	c.Replay = cmp.Or(c.Replay, DefaultReplay)
+	c.MaxUnackedBytes = cmp.Or(c.MaxUnackedBytes, DefaultMaxUnackedBytes)
+	c.ReplayBytes = cmp.Or(c.ReplayBytes, DefaultReplayBytes)
 	c.ReplayTime = cmp.Or(c.ReplayTime, DefaultReplayTime)
-	c.Grace = cmp.Or(c.Grace, DefaultGrace)
+	c.DisconnectGrace = cmp.Or(c.DisconnectGrace, DefaultDisconnectGrace)
 	c.TombstoneTime = cmp.Or(c.TombstoneTime, DefaultTombstoneTime)
 	c.Tick = cmp.Or(c.Tick, DefaultTick)
-	c.LoadEvery = cmp.Or(c.LoadEvery, DefaultLoadEvery)
-	c.CallSlots = cmp.Or(c.CallSlots, DefaultCallSlots)
+	c.LoadInterval = cmp.Or(c.LoadInterval, DefaultLoadInterval)
+	c.MaxCalls = cmp.Or(c.MaxCalls, DefaultMaxCalls)
 	if c.Clock == nil {
 		c.Clock = time.Now
 	}
@@ -99,61 +106,63 @@
 	return c
 }
 
-// Agent serves one target. Make it with New, give it links with Attach, and run
-// it with Run.
+// Agent serves one target. New creates it, Attach adds a link and Run runs it.
 type Agent struct {
-	cfg    Config
-	target Target
-	work   conc.WaitGroup
-	seq    atomic.Uint64
-	born   time.Time
+	cfg           Config
+	target        Target
+	tasks         conc.WaitGroup
+	generationSeq atomic.Uint64
+	startedAt     time.Time
 
-	mu         sync.Mutex
-	admit      Admitter
-	sessions   map[wire.Key]*session
-	latest     map[api.RequestID]wire.Key
-	tombstones map[wire.Key]time.Time
-	links      map[sender]*reporting
-	applied    *fleetconfig.Snapshot // nil before the first
-	replay     int
-	replayTime time.Duration
-	calls      int
-	leaving    bool
-	orders     orders
-	// preemptions is the engine's count at its last report.
+	mu       sync.Mutex
+	admitter Admitter
+	sessions map[wire.Key]*session
+	// latestKey holds the key of the most recently accepted attempt of each
+	// request.
+	latestKey     map[api.RequestID]wire.Key
+	tombstones    map[wire.Key]time.Time
+	links         map[sender]*loadReporting
+	appliedConfig *fleetconfig.Snapshot // nil until one has been applied
+	replayBytes   int
+	replayTime    time.Duration
+	calls         int // plain calls in progress
+	leaving       bool
+	orders        orders
+	// preemptions is the number of preemptions in the engine's last load report.
 	preemptions uint64
 }
 
-// New makes an agent in front of target.
-func New(cfg Config, target Target, admit Admitter) *Agent {
+// New returns an agent in front of target.
+func New(cfg Config, target Target, admitter Admitter) *Agent {
 	cfg = cfg.withDefaults()
 	return &Agent{
-		cfg:        cfg,
-		born:       cfg.Clock(),
-		target:     target,
-		admit:      admit,
-		replay:     cfg.Replay,
-		replayTime: cfg.ReplayTime,
-		sessions:   make(map[wire.Key]*session),
-		latest:     make(map[api.RequestID]wire.Key),
-		tombstones: make(map[wire.Key]time.Time),
-		links:      make(map[sender]*reporting),
-		orders:     orders{gate: order.NewGate(cfg.Incarnation)},
+		cfg:         cfg,
+		startedAt:   cfg.Clock(),
+		target:      target,
+		admitter:    admitter,
+		replayBytes: cfg.ReplayBytes,
+		replayTime:  cfg.ReplayTime,
+		sessions:    make(map[wire.Key]*session),
+		latestKey:   make(map[api.RequestID]wire.Key),
+		tombstones:  make(map[wire.Key]time.Time),
+		links:       make(map[sender]*loadReporting),
+		orders:      orders{gate: order.NewGate(cfg.Incarnation)},
 	}
 }
 
-// Run paces admission and sweeps until ctx is done, then waits for the work in
-// progress to end. Cancel the work with Abort.
+// Run calls Tick at the configured interval until ctx is done, then waits for the
+// work in progress to end. It also polls the engine's load if the agent serves any
+// models. Abort cancels the work in progress.
 func (a *Agent) Run(ctx context.Context) {
 	t := time.NewTicker(a.cfg.Tick)
 	defer t.Stop()
 	if len(a.cfg.Models) > 0 {
-		a.work.Go(func() { a.poll(ctx) })
+		a.tasks.Go(func() { a.pollLoad(ctx) })
 	}
 	for {
 		select {
 		case <-ctx.Done():
-			a.work.Wait()
+			a.tasks.Wait()
 			return
 		case <-t.C:
 			a.Tick(a.cfg.Clock())
@@ -161,19 +170,21 @@
 	}
 }
 
-// Tick starts what may start, reports load and forgets what has expired.
+// Tick applies a new configuration, starts the requests that may start, sends load
+// reports, cancels abandoned generations, and removes sessions and tombstones that
+// have expired.
 func (a *Agent) Tick(now time.Time) {
-	a.follow()
+	a.applyConfig()
 	a.startReady(now)
 	a.reportLoad(now)
 	a.sweep(now)
 }
 
-// Attach makes a link known, announces the target on it and gives the function
-// that forgets the link again.
+// Attach adds a link, announces the target on it and returns the function that
+// removes the link.
 func (a *Agent) Attach(to sender) (detach func()) {
 	a.mu.Lock()
-	a.links[to] = &reporting{every: a.cfg.LoadEvery}
+	a.links[to] = &loadReporting{interval: a.cfg.LoadInterval}
 	ann := a.announcement()
 	a.mu.Unlock()
 	_ = to.Send(ann)
@@ -204,29 +215,30 @@
 	}
 }
 
-// uptime is this agent's monotonic clock.
-func (a *Agent) uptime() time.Duration { return a.cfg.Clock().Sub(a.born) }
+// uptime returns the agent's monotonic clock, which starts at zero when the agent
+// is created.
+func (a *Agent) uptime() time.Duration { return a.cfg.Clock().Sub(a.startedAt) }
 
-// Leave marks the target as leaving: every link is told, and offers are refused
-// here from now on, so that an entry with a stale view cannot place work.
-// Requests that have not started are handed back as not run.
+// Leave marks the target as leaving. It announces this on every link, and the
+// agent refuses new offers from now on, so that an entry with an outdated view
+// cannot place work here. Queued generations end as not run.
 func (a *Agent) Leave() {
 	a.mu.Lock()
 	a.leaving = true
 	ann := a.announcement()
 	links := a.linkList()
-	waiting := a.takeWaiting()
+	waiting := a.cancelQueued()
 	a.mu.Unlock()
 	for _, l := range links {
 		_ = l.Send(ann)
 	}
 	for _, s := range waiting {
-		a.end(s, &wire.Final{Outcome: api.OutcomeNotRun, Reason: api.ReasonTargetLeaving})
+		a.endSession(s, &wire.Final{Outcome: api.OutcomeNotRun, Reason: api.ReasonTargetLeaving})
 	}
 }
 
-// Retire tells one link's entry to place no more work here over it, ahead of the
-// link's end. The target goes on serving its other links.
+// Retire tells the entry of one link to place no more work over this link, before
+// the link is closed. The target continues to serve its other links.
 func (a *Agent) Retire(to sender) {
 	a.mu.Lock()
 	ann := a.announcement()
@@ -235,7 +247,7 @@
 	_ = to.Send(ann)
 }
 
-// Uses tells whether a request in progress depends on a link.
+// Uses reports whether the end of a request has yet to be acknowledged on a link.
 func (a *Agent) Uses(to sender) bool {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -255,11 +267,11 @@
 	return out
 }
 
-func (a *Agent) takeWaiting() []*session {
+func (a *Agent) cancelQueued() []*session {
 	var out []*session
 	now := a.cfg.Clock()
 	for k, s := range a.sessions {
-		if s.offer.Service == "" && a.admit.Cancel(k.Request, k.Attempt, now) {
+		if s.offer.Service == "" && a.admitter.Cancel(k.Request, k.Attempt, now) {
 			s.stop()
 			out = append(out, s)
 		}
@@ -267,20 +279,21 @@
 	return out
 }
 
-// Idle tells that no request is in progress and no entry waits for an end.
+// Idle reports whether no request is in progress and no entry waits for the end of
+// one.
 func (a *Agent) Idle() bool {
 	now := a.cfg.Clock()
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	for _, s := range a.sessions {
-		if !s.settled(now, a.cfg.Grace) {
+		if !s.settled(now, a.cfg.DisconnectGrace) {
 			return false
 		}
 	}
 	return true
 }
 
-// Abort cancels all work in progress: the hard stop.
+// Abort cancels all work in progress.
 func (a *Agent) Abort() {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -296,10 +309,10 @@
 		switch {
 		case s.expired(now, a.replayTime):
 			delete(a.sessions, k)
-			if a.latest[k.Request] == k {
-				delete(a.latest, k.Request)
+			if a.latestKey[k.Request] == k {
+				delete(a.latestKey, k.Request)
 			}
-		case s.offer.Service == "" && s.abandoned(now, a.cfg.Grace):
+		case s.offer.Service == "" && s.abandoned(now, a.cfg.DisconnectGrace):
 			a.cancelLocked(s, now)
 		}
 	}
@@ -311,11 +324,11 @@
 }
 
 func (a *Agent) newGeneration() api.GenerationID {
-	n := a.seq.Add(1)
+	n := a.generationSeq.Add(1)
 	return api.GenerationID(strconv.FormatUint(uint64(a.cfg.Incarnation), 36) + "-" + strconv.FormatUint(n, 36))
 }
 
-func (a *Agent) end(s *session, f *wire.Final) {
+func (a *Agent) endSession(s *session, f *wire.Final) {
 	if s.finish(f, a.cfg.Clock()) {
 		a.cfg.Observer.Ended(s.offer.Key, f.Outcome, f.Reason)
 	}
--- a/node/agent/fake_test.go
+++ b/node/agent/fake_test.go
@@ -19,7 +19,7 @@
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
-// fakeLink is one entry's link; it keeps what the agent sends.
+// fakeLink is the link to one entry; it records what the agent sends.
 type fakeLink struct {
 	mu   sync.Mutex
 	sent []wire.Message
@@ -32,8 +32,9 @@
 	return nil
 }
 
-// heard takes all messages of type T that have come so far.
-func heard[T wire.Message](l *fakeLink) []T {
+// receiveAll removes and returns all messages of type T that the agent has sent so
+// far.
+func receiveAll[T wire.Message](l *fakeLink) []T {
 	synctest.Wait()
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -50,16 +51,17 @@
 	return got
 }
 
-// one takes the only message of type T.
-func one[T wire.Message](c *qt.C, l *fakeLink) T {
+// receiveOne removes and returns the only message of type T.
+func receiveOne[T wire.Message](c *qt.C, l *fakeLink) T {
 	c.Helper()
-	got := heard[T](l)
+	got := receiveAll[T](l)
 	c.Assert(got, qt.HasLen, 1)
 	return got[0]
 }
 
-// text is what the items of the frames say, checked to be without a gap.
-func text(c *qt.C, frames []*wire.Data) string {
+// joinItems returns the concatenated items of the frames. It fails the test if the
+// frames belong to different generations or leave a gap.
+func joinItems(c *qt.C, frames []*wire.Data) string {
 	c.Helper()
 	out := ""
 	for i, d := range frames {
@@ -77,22 +79,22 @@
 
 // fakeTarget starts a fakeRun for each request.
 type fakeTarget struct {
-	mu     sync.Mutex
-	runs   []*fakeRun
-	refuse error
-	load   TargetLoad
-	noLoad error
+	mu       sync.Mutex
+	runs     []*fakeRun
+	startErr error
+	load     TargetLoad
+	loadErr  error
 }
 
-// fakeRun is one answer under the test's hand. deaf makes it ignore Close, as an
-// engine does that has a token on the way already.
+// fakeRun is a response that the test controls. If ignoresClose is set, it returns
+// items even after Close, like an engine that has already sent a token.
 type fakeRun struct {
-	ctx    context.Context
-	work   Work
-	items  chan string
-	closed chan struct{}
-	once   sync.Once
-	deaf   bool
+	ctx          context.Context
+	work         Work
+	items        chan string
+	closed       chan struct{}
+	once         sync.Once
+	ignoresClose bool
 }
 
 func (t *fakeTarget) start(ctx context.Context, w Work) (Answer, error) {
@@ -100,8 +102,8 @@
 	defer t.mu.Unlock()
 	r := &fakeRun{ctx: ctx, work: w, items: make(chan string, 1000), closed: make(chan struct{})}
 	t.runs = append(t.runs, r)
-	if t.refuse != nil {
-		return nil, t.refuse
+	if t.startErr != nil {
+		return nil, t.startErr
 	}
 	return r, nil
 }
@@ -112,7 +114,7 @@
 func (t *fakeTarget) Load(context.Context) (TargetLoad, error) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	return t.load, t.noLoad
+	return t.load, t.loadErr
 }
 
 func (t *fakeTarget) run(i int) *fakeRun {
@@ -139,7 +141,7 @@
 		}
 		return []byte(it), nil
 	case <-r.closed:
-		if r.deaf {
+		if r.ignoresClose {
 			return []byte(<-r.items), nil
 		}
 		return nil, &api.Error{Step: api.StepEngine, Outcome: api.OutcomeInterrupted, Reason: api.ReasonEngineDied}
@@ -148,7 +150,7 @@
 
 func (r *fakeRun) Close() { r.once.Do(func() { close(r.closed) }) }
 
-func (r *fakeRun) say(items ...string) {
+func (r *fakeRun) send(items ...string) {
 	for _, it := range items {
 		r.items <- it
 	}
@@ -161,8 +163,8 @@
 
 const incarnation = 7
 
-// bench is an agent between a fake target and one fake link, in virtual time.
-type bench struct {
+// harness is an agent between a fake target and one fake link, in virtual time.
+type harness struct {
 	c      *qt.C
 	agent  *Agent
 	target *fakeTarget
@@ -171,14 +173,14 @@
 	detach func()
 }
 
-// inBench runs f with an agent that starts at most running sequences at once.
-func inBench(t *testing.T, cfg Config, running int, f func(b *bench)) {
+// withHarness calls f with an agent that runs at most running sequences at once.
+func withHarness(t *testing.T, cfg Config, running int, f func(b *harness)) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
 		cfg.Target, cfg.Incarnation, cfg.Models = "t1", incarnation, []api.ModelID{"m"}
 		admit := admission.New(admission.Config{Capacity: 100_000, MaxRunning: running}, estimate.New(estimate.Config{}))
 		target := &fakeTarget{load: TargetLoad{Free: 100_000}}
-		b := &bench{c: qt.New(t), agent: New(cfg, target, admit), target: target, admit: admit}
+		b := &harness{c: qt.New(t), agent: New(cfg, target, admit), target: target, admit: admit}
 		ctx, cancel := context.WithCancel(t.Context())
 		ended := make(chan struct{})
 		go func() {
@@ -195,28 +197,28 @@
 	})
 }
 
-func (b *bench) attach() (*fakeLink, func()) {
+func (b *harness) attach() (*fakeLink, func()) {
 	l := &fakeLink{}
 	return l, b.agent.Attach(l)
 }
 
-// pass lets virtual time go by.
-func (b *bench) pass(d time.Duration) {
+// advance lets virtual time pass.
+func (b *harness) advance(d time.Duration) {
 	time.Sleep(d)
 	synctest.Wait()
 }
 
 func key(r api.RequestID) wire.Key { return wire.Key{Request: r, Attempt: 1} }
 
-func offerOf(r api.RequestID) *wire.Offer {
+func newOffer(r api.RequestID) *wire.Offer {
 	return &wire.Offer{Key: key(r), Incarnation: incarnation, Size: wire.Size{Customer: "c1", Model: "m", Prompt: 10, MaxTokens: 100}}
 }
 
-func callOf(r api.RequestID) *wire.Offer {
-	o := offerOf(r)
+func newCallOffer(r api.RequestID) *wire.Offer {
+	o := newOffer(r)
 	o.Service = "s"
 	o.Method = "POST"
 	return o
 }
 
-func (b *bench) say(m wire.Message) { b.agent.Handle(b.link, m) }
+func (b *harness) send(m wire.Message) { b.agent.Handle(b.link, m) }
--- a/node/agent/handle.go
+++ b/node/agent/handle.go
@@ -11,8 +11,8 @@
 	"almondseam.dev/node/wire"
 )
 
-// Handle takes one message from a link. Messages of one link come in order, on
-// one goroutine.
+// Handle processes one message from a link. The messages of one link must be
+// passed in order and from one goroutine.
 func (a *Agent) Handle(from sender, m wire.Message) {
 	switch m := m.(type) {
 	case *wire.BidRequest:
@@ -36,15 +36,17 @@
 	}
 }
 
-// onDrain leaves on an operator's behalf. A message meant for an earlier start
-// of this agent came late and is dropped.
+// onDrain makes the target leave at the request of an operator. It ignores a
+// message for another incarnation: such a message was meant for an earlier start
+// of this agent and arrived late.
 func (a *Agent) onDrain(m *wire.Drain) {
 	if m.Incarnation == a.cfg.Incarnation {
 		a.Leave()
 	}
 }
 
-// request gives the admission's view of an offer or a bid.
+// request converts the key and the size of an offer or of a bid request to the
+// request type of the Admitter.
 func (a *Agent) request(k wire.Key, z wire.Size, now time.Time) admission.Request {
 	r := admission.Request{
 		ID:        k.Request,
@@ -71,7 +73,7 @@
 	a.mu.Lock()
 	bid := admission.Bid{Refuse: api.ReasonTargetLeaving}
 	if !a.leaving {
-		bid = a.admit.Bid(a.request(m.Key, m.Size, now), now)
+		bid = a.admitter.Bid(a.request(m.Key, m.Size, now), now)
 	}
 	a.mu.Unlock()
 	_ = from.Send(&wire.Bid{Key: m.Key, Wait: bid.Wait, Cached: bid.Cached, Refuse: bid.Refuse, RetryAfter: bid.RetryAfter})
@@ -85,16 +87,16 @@
 		_ = from.Send(&wire.Accepted{Key: m.Key, Generation: s.gen})
 		return
 	}
-	v := a.judge(m, now)
+	v := a.decideOffer(m, now)
 	if v.Refuse != "" {
 		a.mu.Unlock()
 		a.cfg.Observer.Refused(m.Key, v.Refuse)
 		_ = from.Send(&wire.Refused{Key: m.Key, Reason: v.Refuse, RetryAfter: v.RetryAfter})
 		return
 	}
-	s := newSession(*m, a.newGeneration(), a.replay, a.cfg.Unacked, from, now)
+	s := newSession(*m, a.newGeneration(), a.replayBytes, a.cfg.MaxUnackedBytes, from, now)
 	a.sessions[m.Key] = s
-	a.latest[m.Key.Request] = m.Key
+	a.latestKey[m.Key.Request] = m.Key
 	a.mu.Unlock()
 	a.cfg.Observer.Accepted(m.Key)
 	_ = from.Send(&wire.Accepted{Key: m.Key, Generation: s.gen, Position: v.Position, Wait: v.Wait})
@@ -105,9 +107,10 @@
 	a.startReady(now)
 }
 
-// judge decides an offer under the lock. The order matters: a tombstone and a
-// wrong incarnation are proofs given to others and are looked at first.
-func (a *Agent) judge(m *wire.Offer, now time.Time) admission.Verdict {
+// decideOffer accepts or refuses an offer. The caller must hold a.mu. The
+// tombstone and the incarnation are checked before all else, because other
+// processes may already rely on them as proof that the key does not run here.
+func (a *Agent) decideOffer(m *wire.Offer, now time.Time) admission.Verdict {
 	if _, dead := a.tombstones[m.Key]; dead {
 		return admission.Verdict{Refuse: api.ReasonTombstoned}
 	}
@@ -121,25 +124,26 @@
 		return admission.Verdict{Refuse: api.ReasonTimeout}
 	}
 	if m.Service != "" {
-		return a.judgeCall()
+		return a.decideCall()
 	}
-	return a.admit.Offer(a.request(m.Key, m.Size, now), now)
+	return a.admitter.Offer(a.request(m.Key, m.Size, now), now)
 }
 
 const callRetryAfter = time.Second
 
-func (a *Agent) judgeCall() admission.Verdict {
-	if a.calls >= a.cfg.CallSlots {
+func (a *Agent) decideCall() admission.Verdict {
+	if a.calls >= a.cfg.MaxCalls {
 		return admission.Verdict{Refuse: api.ReasonQueueFull, RetryAfter: callRetryAfter}
 	}
 	a.calls++
 	return admission.Verdict{Queued: true}
 }
 
-// lookup finds a session by its key; attempt 0 means the request's latest.
+// lookup returns the session with a key, or nil. Attempt 0 means the request's
+// latest attempt. The caller must hold a.mu.
 func (a *Agent) lookup(k wire.Key) *session {
 	if k.Attempt == 0 {
-		k = a.latest[k.Request]
+		k = a.latestKey[k.Request]
 	}
 	return a.sessions[k]
 }
@@ -159,49 +163,55 @@
 	defer a.mu.Unlock()
 	s := a.lookup(m.Key)
 	if s == nil {
-		// The entry has taken another's bid: the place that ours kept is free.
-		a.admit.Release(m.Key.Request)
+		// The entry has chosen the bid of another agent, so the reservation for
+		// the bid of this agent is not needed any more.
+		a.admitter.Release(m.Key.Request)
 		return
 	}
-	if m.Key.Attempt != 0 && s.hasReturned() {
-		// The first dispatch's entry has noticed late that its caller is gone.
-		// The caller has come back meanwhile, and would lose its answer.
+	if m.Key.Attempt != 0 && s.callerHasReturned() {
+		// The entry of the first dispatch has noticed late that its caller is
+		// gone. The caller has reconnected since and would lose its answer.
 		return
 	}
 	if m.Hold > 0 {
-		s.hold(from, now.Add(min(m.Hold, a.cfg.Grace)-a.cfg.Grace))
+		s.hold(from, now.Add(min(m.Hold, a.cfg.DisconnectGrace)-a.cfg.DisconnectGrace))
 		return
 	}
 	a.cancelLocked(s, now)
 }
 
-// cancelLocked stops a session that nobody waits for any more. One that was
-// still waiting ends here as not run; a running one ends when its work returns.
+// cancelLocked cancels a session for which no entry waits any more. A queued
+// session ends here as not run; a running one ends when its work returns. The
+// caller must hold a.mu.
 func (a *Agent) cancelLocked(s *session, now time.Time) (notRun bool) {
-	s.forsake()
+	s.waiveFinalAck()
 	k := s.offer.Key
-	waiting := s.offer.Service == "" && !s.hasStarted() && a.admit.Cancel(k.Request, k.Attempt, now)
+	waiting := s.offer.Service == "" && !s.hasStarted() && a.admitter.Cancel(k.Request, k.Attempt, now)
 	s.stop()
 	if waiting {
-		a.end(s, &wire.Final{Outcome: api.OutcomeNotRun, Reason: api.ReasonCancelled})
+		a.endSession(s, &wire.Final{Outcome: api.OutcomeNotRun, Reason: api.ReasonCancelled})
 	}
 	return waiting
 }
 
-// onTombstone forbids a key. An offer that is still on its way, held up in a
-// stalled link, would otherwise start after the caller was told that it did not
-// run; the tombstone outlives any such offer, since a link's queue dies with
-// the link within its silence bound. For another incarnation nothing is proved:
-// the process that may have run the request is gone.
+// onTombstone ensures that a key will not start later. Without it, an offer
+// delayed in a stalled link could start after the caller was told that its request
+// did not run. A tombstone outlives any such offer: a stalled link is closed
+// within its silence bound, and the messages queued on it are lost with it. If the
+// message names another incarnation, nothing is proved, since the process that may
+// have run the request is gone.
 func (a *Agent) onTombstone(from sender, m *wire.Tombstone) {
 	now := a.cfg.Clock()
 	a.mu.Lock()
-	notRun := a.bury(m, now)
+	notRun := a.addTombstone(m, now)
 	a.mu.Unlock()
 	_ = from.Send(&wire.Tombstoned{Key: m.Key, NotRun: notRun})
 }
 
-func (a *Agent) bury(m *wire.Tombstone, now time.Time) bool {
+// addTombstone reports whether the key has not run at this agent and never will.
+// It stores a tombstone if the key is unknown, and cancels its session otherwise.
+// The caller must hold a.mu.
+func (a *Agent) addTombstone(m *wire.Tombstone, now time.Time) bool {
 	if m.Incarnation != a.cfg.Incarnation {
 		return false
 	}
@@ -219,14 +229,15 @@
 }
 
 func (a *Agent) onResume(from sender, m *wire.Resume) {
-	s, reason := a.find(m)
+	s, reason := a.sessionToResume(m)
 	if reason != "" {
 		_ = from.Send(&wire.ResumeRefused{Key: m.Key, Reason: reason})
 		return
 	}
 	if m.Key.Attempt == 0 {
-		// The entry gives a returning caller nothing before this: until here only
-		// the caller's own word said whose request it is.
+		// The entry sends nothing to a returning caller before it has received
+		// this message. Until then nothing but the caller's own claim shows that
+		// the request belongs to it.
 		_ = from.Send(&wire.Accepted{Key: m.Key, Generation: s.gen})
 	}
 	err := s.attach(from, m.Offset, m.Key.Attempt == 0)
@@ -239,9 +250,10 @@
 	}
 }
 
-// find gives the session that a Resume asks for. Another customer's request is
-// answered like one that does not exist, so that its existence is not told.
-func (a *Agent) find(m *wire.Resume) (*session, api.Reason) {
+// sessionToResume returns the session that a Resume requests. The request of
+// another customer is reported like one that does not exist, so that the reason
+// does not reveal its existence.
+func (a *Agent) sessionToResume(m *wire.Resume) (*session, api.Reason) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	s := a.lookup(m.Key)
--- a/node/agent/orders.go
+++ b/node/agent/orders.go
@@ -13,47 +13,49 @@
 	"almondseam.dev/node/wire"
 )
 
-// ordersPath is where a target takes orders.
+// ordersPath is the path at a target to which orders are posted.
 const ordersPath = "/orders"
 
-// renewals is how often an order's lease is renewed within its length.
-const renewals = 3
+// renewalsPerLease is how many times an order's lease is renewed within its
+// length.
+const renewalsPerLease = 3
 
-// orders is the agent's part in the orders to its target: the gate, and the last
-// order's state, which is told again when that order arrives again.
+// orders is the state of the orders to the target: the gate, and the state of the
+// last order, which is sent again when that order arrives again after its end.
 type orders struct {
 	mu   sync.Mutex
 	gate *order.Gate
 	last wire.OrderState
 }
 
-// targetOrder is the body that targets take.
+// targetOrder is the body of an order as targets accept it.
 type targetOrder struct {
 	Fence  api.Fence `json:"fence"`
 	Action string    `json:"action"`
 	Value  string    `json:"value"`
 }
 
-// onOrder passes an order on to the target unless the gate refuses it. Several
-// entries may hand over the same order; the gate lets the first one through, and
-// the others learn how it stands.
+// onOrder executes an order unless the gate rejects it. Several entries may
+// deliver the same order. The gate admits the first copy; a copy that arrives
+// after the end of the order is answered with its final state.
 func (a *Agent) onOrder(from sender, m *wire.Order) {
 	o := &a.orders
 	o.mu.Lock()
 	if o.last.Fence == m.Order.Fence && !o.last.Ended {
-		// The same order again is a renewal, or another entry's copy.
-		o.gate.RenewLease(m.Order.Fence, a.born.Add(m.Echo), m.Lease)
+		// The same order arrived again: it renews the lease or is another entry's
+		// copy.
+		o.gate.RenewLease(m.Order.Fence, a.startedAt.Add(m.Echo), m.Lease)
 		o.mu.Unlock()
 		return
 	}
-	err := o.gate.Begin(m.Order, a.born.Add(m.Echo), m.Lease)
+	err := o.gate.Begin(m.Order, a.startedAt.Add(m.Echo), m.Lease)
 	if err == nil {
 		o.last = wire.OrderState{Fence: m.Order.Fence}
 	}
 	last := o.last
 	o.mu.Unlock()
 	if err == nil {
-		a.work.Go(func() { a.carryOut(m.Order, m.Lease) })
+		a.tasks.Go(func() { a.executeOrder(m.Order, m.Lease) })
 		return
 	}
 	if last.Fence == m.Order.Fence {
@@ -61,15 +63,16 @@
 	}
 }
 
-// carryOut gives the order to the target, renews its lease while that takes,
-// and tells every link how it ended. An order whose end gets lost with all links
-// runs out by its lease.
-func (a *Agent) carryOut(o order.Order, lease time.Duration) {
+// executeOrder sends the order to the target and then reports its result on every
+// link. While the call is in progress, it sends the order state at intervals so
+// that the lease is renewed, and cancels the call once the lease has expired. If
+// the result is lost with all links, the order ends when its lease expires.
+func (a *Agent) executeOrder(o order.Order, lease time.Duration) {
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
 	ended := make(chan error, 1)
-	a.work.Go(func() { ended <- a.sendOrder(ctx, o) })
-	renew := time.NewTicker(lease / renewals)
+	a.tasks.Go(func() { ended <- a.sendOrder(ctx, o) })
+	renew := time.NewTicker(lease / renewalsPerLease)
 	defer renew.Stop()
 	for {
 		select {
@@ -77,27 +80,29 @@
 			a.endOrder(o, err)
 			return
 		case <-renew.C:
-			a.tellAll(&wire.OrderState{Fence: o.Fence})
-			if !a.mayGoOn(o.Fence) {
+			a.broadcast(&wire.OrderState{Fence: o.Fence})
+			if !a.maySend(o.Fence) {
 				cancel()
 			}
 		}
 	}
 }
 
-func (a *Agent) mayGoOn(fence api.Fence) bool {
+// maySend reports whether the order with this fence is still running and its lease
+// is valid.
+func (a *Agent) maySend(fence api.Fence) bool {
 	a.orders.mu.Lock()
 	defer a.orders.mu.Unlock()
 	return a.orders.gate.MaySend(fence, a.cfg.Clock())
 }
 
-// sendOrder makes the call. The gate is asked right before the write.
+// sendOrder calls the target. It checks the gate immediately before the call.
 func (a *Agent) sendOrder(ctx context.Context, o order.Order) error {
 	body, err := json.Marshal(targetOrder{Fence: o.Fence, Action: targetAction(o.Spec.Action), Value: orderValue(o.Spec)})
 	if err != nil {
 		return err
 	}
-	if !a.mayGoOn(o.Fence) {
+	if !a.maySend(o.Fence) {
 		return fmt.Errorf("the lease ran out before the order was sent")
 	}
 	answer, err := a.target.Call(ctx, Work{Request: api.RequestID(o.ID), Method: http.MethodPost, Path: ordersPath, Body: body})
@@ -111,7 +116,7 @@
 	return nil
 }
 
-// targetAction gives the target's own name of an action.
+// targetAction returns the target's own name of an action.
 func targetAction(a order.Action) string {
 	if a == order.ActionChangeRole {
 		return "set_role"
@@ -140,10 +145,10 @@
 	a.orders.gate.End(o.Fence)
 	a.orders.last = st
 	a.orders.mu.Unlock()
-	a.tellAll(&st)
+	a.broadcast(&st)
 }
 
-func (a *Agent) tellAll(m wire.Message) {
+func (a *Agent) broadcast(m wire.Message) {
 	a.mu.Lock()
 	links := a.linkList()
 	a.mu.Unlock()
--- a/node/agent/report.go
+++ b/node/agent/report.go
@@ -6,14 +6,14 @@
 	"almondseam.dev/node/wire"
 )
 
-// reporting is the load reporting on one link, at the pace that its entry asks
-// for.
-type reporting struct {
-	every time.Duration
-	last  time.Time
+// loadReporting is the state of the load reports on one link. The entry may change
+// the interval.
+type loadReporting struct {
+	interval time.Duration
+	lastSent time.Time
 }
 
-// reportLoad reports on the links that are due.
+// reportLoad sends a load report on each link on which one is due.
 func (a *Agent) reportLoad(now time.Time) {
 	a.mu.Lock()
 	due := a.dueLinks(now)
@@ -21,7 +21,7 @@
 		a.mu.Unlock()
 		return
 	}
-	snap := a.admit.Snapshot(now)
+	snap := a.admitter.Snapshot(now)
 	calls := a.calls
 	a.mu.Unlock()
 	m := &wire.Load{
@@ -40,24 +40,24 @@
 func (a *Agent) dueLinks(now time.Time) []sender {
 	var due []sender
 	for l, r := range a.links {
-		if now.Sub(r.last) >= r.every {
-			r.last = now
+		if now.Sub(r.lastSent) >= r.interval {
+			r.lastSent = now
 			due = append(due, l)
 		}
 	}
 	return due
 }
 
-// Bounds of the pace that an entry may ask for.
+// Bounds of the interval of load reports that an entry may request.
 const (
-	minPace = 50 * time.Millisecond
-	maxPace = time.Minute
+	minLoadInterval = 50 * time.Millisecond
+	maxLoadInterval = time.Minute
 )
 
 func (a *Agent) onPace(from sender, m *wire.Pace) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	if r := a.links[from]; r != nil {
-		r.every = min(max(m.Every, minPace), maxPace)
+		r.interval = min(max(m.Every, minLoadInterval), maxLoadInterval)
 	}
 }
--- a/node/agent/run.go
+++ b/node/agent/run.go
@@ -7,9 +7,9 @@
 	"almondseam.dev/node/wire"
 )
 
-// run drives one started session and gives its final frame.
+// run carries out one started session and returns its Final message.
 func (a *Agent) run(ctx context.Context, s *session, priority int) *wire.Final {
-	s.tellStarted()
+	s.sendStarted()
 	w := Work{
 		Request:  s.offer.Key.Request,
 		Method:   s.offer.Method,
@@ -27,12 +27,12 @@
 func (a *Agent) runGeneration(ctx context.Context, s *session, w Work) *wire.Final {
 	ans, err := a.target.Generate(ctx, w)
 	if err != nil {
-		return s.failed(err)
+		return s.finalForError(err)
 	}
 	defer ans.Close()
 	stop := context.AfterFunc(ctx, ans.Close)
 	defer stop()
-	return s.relay(ans, func(n int) { a.progress(s, n) })
+	return s.copyAnswer(ans, func(n int) { a.progress(s, n) })
 }
 
 func (a *Agent) progress(s *session, tokens int) {
@@ -40,7 +40,7 @@
 	k := s.offer.Key
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	a.admit.Progress(k.Request, k.Attempt, tokens, now)
+	a.admitter.Progress(k.Request, k.Attempt, tokens, now)
 }
 
 func (a *Agent) runCall(ctx context.Context, s *session, w Work) *wire.Final {
@@ -48,14 +48,14 @@
 	defer cancel()
 	ans, err := a.target.Call(ctx, w)
 	if err != nil {
-		return s.failed(err)
+		return s.finalForError(err)
 	}
 	defer ans.Close()
 	stop := context.AfterFunc(ctx, ans.Close)
 	defer stop()
 	status, headers := ans.Head()
 	s.setHead(&wire.Head{Key: s.offer.Key, Generation: s.gen, Status: status, Headers: headers})
-	return s.relay(ans, func(int) {})
+	return s.copyAnswer(ans, func(int) {})
 }
 
 func withTimeout(ctx context.Context, s *session) (context.Context, context.CancelFunc) {
@@ -65,12 +65,13 @@
 	return context.WithTimeout(ctx, s.offer.Timeout)
 }
 
-// failed turns a target's error before any item into the final frame. The
-// target's adapter alone may claim not_run; a call that was cancelled while its
-// service had it stays unknown, for nothing tells how far it got.
-func (s *session) failed(err error) *wire.Final {
+// finalForError returns the Final message for an error that the target returned
+// before any item. Only the Target may state that a request did not run. A call
+// that was cancelled while its service processed it keeps the outcome unknown,
+// since nothing shows how far it got.
+func (s *session) finalForError(err error) *wire.Final {
 	e := api.AsError(err)
-	f := &wire.Final{Outcome: e.Outcome, Reason: e.Reason, RetryAfter: e.RetryAfter, Detail: detail(e)}
+	f := &wire.Final{Outcome: e.Outcome, Reason: e.Reason, RetryAfter: e.RetryAfter, Detail: errorDetail(e)}
 	if s.isStopped() && e.Outcome != api.OutcomeNotRun {
 		f.Reason = api.ReasonCancelled
 	}
--- a/node/agent/settings.go
+++ b/node/agent/settings.go
@@ -2,22 +2,22 @@
 
 import "almondseam.dev/core/admission"
 
-// follow applies a configuration that has come in force since the last tick. The
-// replay window is that of requests accepted from then on; the replay time is
-// also that of those that have ended already.
-func (a *Agent) follow() {
+// applyConfig applies a configuration that has come into force since the last
+// tick. The new replay window applies to requests accepted from then on, the new
+// replay time also to requests that have already ended.
+func (a *Agent) applyConfig() {
 	if a.cfg.Live == nil {
 		return
 	}
 	conf := a.cfg.Live.Load()
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	if conf == nil || conf == a.applied {
+	if conf == nil || conf == a.appliedConfig {
 		return
 	}
-	a.applied = conf
+	a.appliedConfig = conf
 	limits, policy := conf.Limits(), conf.Policy()
-	a.replay, a.replayTime = int(limits.ReplayBytes), limits.ReplayTime
+	a.replayBytes, a.replayTime = int(limits.ReplayBytes), limits.ReplayTime
 	b := admission.Bounds{
 		QueueLimit: policy.Shed.QueueLength,
 		WaitLimit:  policy.Shed.QueueWait,
@@ -26,5 +26,5 @@
 	if a.cfg.Queue > 0 {
 		b.QueueLimit = a.cfg.Queue
 	}
-	a.admit.SetBounds(b)
+	a.admitter.SetBounds(b)
 }
--- a/node/agent/start.go
+++ b/node/agent/start.go
@@ -10,25 +10,26 @@
 	"almondseam.dev/node/wire"
 )
 
-// startReady starts what the admitter lets start, and ends what has waited
-// beyond its deadline.
+// startReady starts the sequences that the Admitter returns, and ends the queued
+// requests whose deadline has passed.
 func (a *Agent) startReady(now time.Time) {
 	a.mu.Lock()
-	late := a.sessionsOf(a.admit.Expired(now))
-	starts := slices.Clone(a.admit.Next(now))
+	expired := a.sessionsOf(a.admitter.Expired(now))
+	starts := slices.Clone(a.admitter.Next(now))
 	ready := a.sessionsOf(starts)
 	a.mu.Unlock()
 	for i, s := range ready {
 		a.launch(s, starts[i].Priority)
 	}
-	for _, s := range late {
+	for _, s := range expired {
 		s.stop()
-		a.end(s, &wire.Final{Outcome: api.OutcomeNotRun, Reason: api.ReasonDeadlineHopeless})
+		a.endSession(s, &wire.Final{Outcome: api.OutcomeNotRun, Reason: api.ReasonDeadlineHopeless})
 	}
 }
 
-// sessionsOf gives the sessions of what the admitter names. Both are changed
-// under one lock, so each has one.
+// sessionsOf returns the sessions that the Admitter names. Each of them exists,
+// because sessions and Admitter change under the same lock, which the caller must
+// hold.
 func (a *Agent) sessionsOf(starts []admission.Start) []*session {
 	out := make([]*session, len(starts))
 	for i, st := range starts {
@@ -42,34 +43,36 @@
 	switch s.begin(cancel, priority) {
 	case beginStopped:
 		cancel()
-		a.close(s, &wire.Final{Outcome: api.OutcomeNotRun, Reason: api.ReasonCancelled})
-	case beginBusy:
-		cancel() // its last run has yet to return, and launches it then
+		a.closeRun(s, &wire.Final{Outcome: api.OutcomeNotRun, Reason: api.ReasonCancelled})
+	case beginDeferred:
+		cancel() // runOnce launches it again when the previous run returns
 	case beginNow:
-		a.work.Go(func() {
+		a.tasks.Go(func() {
 			defer cancel()
 			a.runOnce(ctx, s, priority)
 		})
 	}
 }
 
-// runOnce runs a session. One that gave way is not ended: it waits in the
-// admitter's queue, or has been let start again already.
+// runOnce runs a session. A session that was yielded does not end: it waits in the
+// Admitter's queue or, if the Admitter has already returned it again, is launched
+// again here.
 func (a *Agent) runOnce(ctx context.Context, s *session, priority int) {
 	f := a.run(ctx, s, priority)
-	yielded, again, next := s.afterRun()
+	yielded, restart, nextPriority := s.afterRun()
 	switch {
 	case !yielded:
-		a.close(s, f)
-	case again:
-		a.launch(s, next)
+		a.closeRun(s, f)
+	case restart:
+		a.launch(s, nextPriority)
 	}
 }
 
-// close ends a session that was launched and lets the next ones start. The room
-// that it held is given up before its end is told: a caller that asks again at
-// once must not find its own request still in the way.
-func (a *Agent) close(s *session, f *wire.Final) {
+// closeRun ends a session that was launched and starts the next ones. It releases
+// the capacity that the session used before it sends the Final message. Otherwise
+// a caller that sends its next request at once could be refused on account of the
+// previous one.
+func (a *Agent) closeRun(s *session, f *wire.Final) {
 	now := a.cfg.Clock()
 	k := s.offer.Key
 	a.mu.Lock()
@@ -77,26 +80,28 @@
 	case s.offer.Service != "":
 		a.calls--
 	case f.Outcome == api.OutcomeCompleted:
-		a.admit.Done(k.Request, k.Attempt, s.produced(), now)
+		a.admitter.Done(k.Request, k.Attempt, s.produced(), now)
 	default:
-		a.admit.Failed(k.Request, k.Attempt)
-		// One that was cancelled while it gave way is not running but queued.
-		// Left there it would be started after its session has been forgotten.
-		a.admit.Cancel(k.Request, k.Attempt, now)
+		a.admitter.Failed(k.Request, k.Attempt)
+		// A session that was stopped after it had been yielded may be queued
+		// again. If it stayed in the queue, it would be started after its
+		// session has been removed.
+		a.admitter.Cancel(k.Request, k.Attempt, now)
 	}
 	a.mu.Unlock()
-	a.end(s, f)
+	a.endSession(s, f)
 	a.startReady(now)
 }
 
-// observe takes a load report of the engine: preemptions make the admitter more
-// careful, and when memory is nearly gone the sequence that has produced nothing
-// gives way before the engine throws away the work of another.
-func (a *Agent) observe(l TargetLoad) {
+// observeLoad processes a load report of the engine. It reports new preemptions to
+// the Admitter, which then keeps more memory free. If memory is nearly exhausted,
+// a sequence that has produced nothing is withdrawn before the engine discards the
+// work of another one.
+func (a *Agent) observeLoad(l TargetLoad) {
 	now := a.cfg.Clock()
 	a.mu.Lock()
 	for n := a.preemptions; n < l.Preemptions; n++ {
-		a.admit.Preempted("", 0, now)
+		a.admitter.Preempted("", 0, now)
 	}
 	a.preemptions = l.Preemptions
 	a.yieldLocked(l.Free)
@@ -104,23 +109,25 @@
 }
 
 func (a *Agent) yieldLocked(free int) {
-	id, ok := a.admit.Yield(free)
+	id, ok := a.admitter.Yield(free)
 	if !ok {
 		return
 	}
 	s := a.lookup(wire.Key{Request: id})
 	if s == nil || !s.yield() {
-		// Its first token arrived in between, so it keeps running. The admitter
-		// would start it a second time: it forgets it, and counts one running
-		// sequence too few until that ends.
-		a.admit.Cancel(id, a.latest[id].Attempt, a.cfg.Clock())
+		// Its first token has arrived in the meantime, so the sequence keeps
+		// running. The Admitter has queued it and would start it a second time, so
+		// it is removed there. The Admitter therefore counts one running sequence
+		// too few until this one ends.
+		a.admitter.Cancel(id, a.latestKey[id].Attempt, a.cfg.Clock())
 	}
 }
 
-// poll asks the engine for its load, one report at a time, until ctx is done.
-// An engine that does not report only loses the corrections.
-func (a *Agent) poll(ctx context.Context) {
-	t := time.NewTicker(a.cfg.LoadEvery)
+// pollLoad requests the load of the engine, one report at a time, until ctx is
+// done. If the engine reports no load, only the corrections by observeLoad are
+// missing.
+func (a *Agent) pollLoad(ctx context.Context) {
+	t := time.NewTicker(a.cfg.LoadInterval)
 	defer t.Stop()
 	failing := false
 	for {
@@ -129,14 +136,14 @@
 			return
 		case <-t.C:
 		}
-		lctx, cancel := context.WithTimeout(ctx, a.cfg.LoadEvery)
+		lctx, cancel := context.WithTimeout(ctx, a.cfg.LoadInterval)
 		l, err := a.target.Load(lctx)
 		cancel()
 		if ctx.Err() != nil {
 			return
 		}
 		if err == nil {
-			a.observe(l)
+			a.observeLoad(l)
 		}
 		if err != nil && !failing {
 			a.cfg.Observer.LoadFailed(err)
