--- a/node/engine/client.go
+++ b/node/engine/client.go
@@ -19,50 +19,52 @@
 	"github.com/valyala/fasthttp"
 )
 
-// Config of a target's road.
+// Config configures a Client. A zero duration takes its default.
 type Config struct {
 	// Addr is the target's address, "host:port".
 	Addr string
-	// Dial bounds connecting, Head the wait for the response's first byte
-	// (an engine that queues answers late, so it is long).
-	Dial time.Duration
-	Head time.Duration
-	// Quiet bounds the time between two reads of a response.
-	Quiet time.Duration
-	// Capabilities of the target, from the agent's settings.
+	// DialTimeout bounds connecting, HeaderTimeout reading the response header.
+	// HeaderTimeout is long, since an engine that queues requests answers late.
+	DialTimeout   time.Duration
+	HeaderTimeout time.Duration
+	// ReadTimeout bounds each read of the response body.
+	ReadTimeout time.Duration
+	// Capabilities are the target's, as given in the agent's settings.
 	Capabilities agent.Capabilities
 }
 
 // Defaults of Config.
 const (
-	DefaultDial  = 2 * time.Second
-	DefaultHead  = 5 * time.Minute
-	DefaultQuiet = 2 * time.Minute
-	// readBuffer bounds the head of a generation's response, callBuffer that of
-	// a call's: services send cookies and policies that engines don't. A head
-	// beyond it leaves the outcome unknown, though the service has acted.
-	readBuffer   = 4 << 10
-	callBuffer   = 16 << 10
-	callChunk    = 16 << 10
+	DefaultDialTimeout   = 2 * time.Second
+	DefaultHeaderTimeout = 5 * time.Minute
+	DefaultReadTimeout   = 2 * time.Minute
+	// readBufferSize bounds the header of a response to a generation,
+	// callBufferSize that of a response to a call: services send cookies and
+	// policies that engines do not. A larger header leaves the outcome unknown,
+	// although the service may have acted.
+	readBufferSize = 4 << 10
+	callBufferSize = 16 << 10
+	callChunkSize  = 16 << 10
+	// maxErrorBody bounds the body of an error response and of a load report.
 	maxErrorBody = 16 << 10
 )
 
-// Client is the road to one target. Every request has a connection of its own,
-// never pooled: an HTTP client with kept-alive connections sends a request again
-// when the server has closed the connection under it, and cannot tell whether
-// the server had read it. A booking would then be made twice. On a fresh
-// connection, written once, there is nothing to send again.
+// Client sends requests to one target. Each request has a connection of its own,
+// which is never reused: an HTTP client that reuses connections sends a request
+// again if the server has closed the connection, and cannot tell whether the
+// server had read it. A booking would then be made twice. On a new connection the
+// request is written once, and there is no reason to send it again.
 type Client struct {
-	cfg  Config
-	dial net.Dialer
+	cfg    Config
+	dialer net.Dialer
 }
 
-// New makes a client. It opens no connection.
+// New returns a client. It opens no connection.
 func New(cfg Config) *Client {
-	cfg.Dial = cmp.Or(cfg.Dial, DefaultDial)
-	cfg.Head = cmp.Or(cfg.Head, DefaultHead)
-	cfg.Quiet = cmp.Or(cfg.Quiet, DefaultQuiet)
-	return &Client{cfg: cfg, dial: net.Dialer{Timeout: cfg.Dial}}
+	cfg.DialTimeout = cmp.Or(cfg.DialTimeout, DefaultDialTimeout)
+	cfg.HeaderTimeout = cmp.Or(cfg.HeaderTimeout, DefaultHeaderTimeout)
+	cfg.ReadTimeout = cmp.Or(cfg.ReadTimeout, DefaultReadTimeout)
+	return &Client{cfg: cfg, dialer: net.Dialer{Timeout: cfg.DialTimeout}}
 }
 
 var _ agent.Target = (*Client)(nil)
@@ -70,79 +72,82 @@
 // Capabilities implements agent.Target.
 func (c *Client) Capabilities() agent.Capabilities { return c.cfg.Capabilities }
 
-func (c *Client) fail(outcome api.Outcome, reason api.Reason, err error) *api.Error {
+func (c *Client) newError(outcome api.Outcome, reason api.Reason, err error) *api.Error {
 	return &api.Error{Step: api.StepEngine, Peer: c.cfg.Addr, Outcome: outcome, Reason: reason, Err: err}
 }
 
-// exchange is one request on its own connection.
+// exchange is one request and its response, on a connection of its own.
 type exchange struct {
-	conn  net.Conn
-	br    *bufio.Reader
-	resp  fasthttp.Response
-	body  io.Reader
-	quiet time.Duration
-	once  sync.Once
+	conn        net.Conn
+	br          *bufio.Reader
+	resp        fasthttp.Response
+	body        io.Reader
+	readTimeout time.Duration
+	once        sync.Once
 }
 
-// Close ends the connection, which cancels the work at the target.
+// Close closes the connection, which cancels the work at the target.
 func (x *exchange) Close() {
 	x.once.Do(func() { _ = x.conn.Close() })
 }
 
-// Read reads the response's body, failing when the target is quiet for too long.
+// Read reads the response body. It fails if the target sends nothing for
+// readTimeout.
 func (x *exchange) Read(p []byte) (int, error) {
-	_ = x.conn.SetReadDeadline(time.Now().Add(x.quiet))
+	_ = x.conn.SetReadDeadline(time.Now().Add(x.readTimeout))
 	return x.body.Read(p)
 }
 
-// open dials, writes the request once and reads the response's head. Its error
-// is not_run only when no byte was written.
-func (c *Client) open(ctx context.Context, w agent.Work, body []byte, accept string) (*exchange, error) {
-	conn, err := c.dial.DialContext(ctx, "tcp", c.cfg.Addr)
+// startExchange connects, writes the request once and reads the response header.
+// The outcome of its error is not_run only if no byte was written.
+func (c *Client) startExchange(ctx context.Context, w agent.Work, body []byte, accept string) (*exchange, error) {
+	conn, err := c.dialer.DialContext(ctx, "tcp", c.cfg.Addr)
 	if err != nil {
-		return nil, c.fail(api.OutcomeNotRun, api.ReasonEngineUnreachable, err)
+		return nil, c.newError(api.OutcomeNotRun, api.ReasonEngineUnreachable, err)
 	}
-	x := &exchange{conn: conn, quiet: c.cfg.Quiet}
+	x := &exchange{conn: conn, readTimeout: c.cfg.ReadTimeout}
 	stop := context.AfterFunc(ctx, x.Close)
 	defer stop()
-	if err := c.write(x, w, body, accept); err != nil {
+	if err := c.writeRequest(x, w, body, accept); err != nil {
 		x.Close()
-		return nil, c.fail(api.OutcomeUnknown, openReason(ctx, err), err)
+		return nil, c.newError(api.OutcomeUnknown, reasonBeforeResponse(ctx, err), err)
 	}
 	x.resp.SkipBody = w.Method == fasthttp.MethodHead
-	buffer := readBuffer
+	bufferSize := readBufferSize
 	if accept == "" {
-		buffer = callBuffer
+		bufferSize = callBufferSize
 	}
-	if err := c.readHead(x, buffer); err != nil {
+	if err := c.readHeader(x, bufferSize); err != nil {
 		x.Close()
-		return nil, c.fail(api.OutcomeUnknown, openReason(ctx, err), err)
+		return nil, c.newError(api.OutcomeUnknown, reasonBeforeResponse(ctx, err), err)
 	}
 	return x, nil
 }
 
-// openReason is the reason of a request that failed before its answer began. At
-// the request's own deadline the connection is closed under the read, whose error
-// is then that of a closed connection: told by it alone, a service that is merely
-// slow would pass for one that died.
-func openReason(ctx context.Context, err error) api.Reason {
+// reasonBeforeResponse returns the reason for a request that failed before its
+// response header was read. At the deadline of the request, the connection is
+// closed while it is being read, and the read fails as on any closed connection.
+// By this error alone, a service that is merely slow would be reported as one that
+// died.
+func reasonBeforeResponse(ctx context.Context, err error) api.Reason {
 	if errors.Is(context.Cause(ctx), context.DeadlineExceeded) {
 		return api.ReasonTimeout
 	}
-	return readReason(err)
+	return reasonForReadError(err)
 }
 
-// readReason tells a target that was quiet for too long from one that went.
-func readReason(err error) api.Reason {
-	// The HTTP library's own timeout is no net.Error.
-	var late interface{ Timeout() bool }
-	if errors.As(err, &late) && late.Timeout() {
+// reasonForReadError returns ReasonTimeout if the target sent nothing for too
+// long, and ReasonEngineDied for any other error.
+func reasonForReadError(err error) api.Reason {
+	// The HTTP library's own timeout error is not a net.Error.
+	var timeoutErr interface{ Timeout() bool }
+	if errors.As(err, &timeoutErr) && timeoutErr.Timeout() {
 		return api.ReasonTimeout
 	}
 	return api.ReasonEngineDied
 }
 
-func (c *Client) write(x *exchange, w agent.Work, body []byte, accept string) error {
+func (c *Client) writeRequest(x *exchange, w agent.Work, body []byte, accept string) error {
 	var req fasthttp.Request
 	req.Header.SetMethod(w.Method)
 	req.SetRequestURI(w.Path)
@@ -163,9 +168,9 @@
 	return bw.Flush()
 }
 
-func (c *Client) readHead(x *exchange, buffer int) error {
-	_ = x.conn.SetReadDeadline(time.Now().Add(c.cfg.Head))
-	x.br = bufio.NewReaderSize(x.conn, buffer)
+func (c *Client) readHeader(x *exchange, bufferSize int) error {
+	_ = x.conn.SetReadDeadline(time.Now().Add(c.cfg.HeaderTimeout))
+	x.br = bufio.NewReaderSize(x.conn, bufferSize)
 	x.resp.StreamBody = true
 	if err := x.resp.Read(x.br); err != nil {
 		return err
@@ -177,14 +182,14 @@
 	return nil
 }
 
-// Call implements agent.Target. Once the first byte may have left, a failure is
-// unknown: the service may have acted on what it read.
+// Call implements agent.Target. Once the first byte may have been sent, the
+// outcome of a failure is unknown: the service may have acted on what it read.
 func (c *Client) Call(ctx context.Context, w agent.Work) (agent.Answer, error) {
-	x, err := c.open(ctx, w, w.Body, "")
+	x, err := c.startExchange(ctx, w, w.Body, "")
 	if err != nil {
 		return nil, err
 	}
-	return &callAnswer{exchange: x, client: c, buf: make([]byte, callChunk)}, nil
+	return &callAnswer{exchange: x, client: c, buf: make([]byte, callChunkSize)}, nil
 }
 
 type callAnswer struct {
@@ -202,8 +207,9 @@
 	return a.resp.StatusCode(), hs
 }
 
-// Next implements agent.Answer. fasthttp reports a body cut short of its
-// length or its last chunk as an error, so io.EOF is the true end.
+// Next implements agent.Answer. fasthttp returns an error for a body that ends
+// before its declared length or its last chunk, so io.EOF means that such a body
+// is complete. A body with neither ends when the connection is closed.
 func (a *callAnswer) Next() ([]byte, error) {
 	for {
 		n, err := a.Read(a.buf)
@@ -214,28 +220,28 @@
 			return nil, io.EOF
 		}
 		if err != nil {
-			return nil, a.client.fail(api.OutcomeInterrupted, api.ReasonEngineTruncated, err)
+			return nil, a.client.newError(api.OutcomeInterrupted, api.ReasonEngineTruncated, err)
 		}
 	}
 }
 
-// Load implements agent.Target with the engine's GET /load.
+// Load implements agent.Target by a GET request for the engine's /load.
 func (c *Client) Load(ctx context.Context) (agent.TargetLoad, error) {
-	x, err := c.open(ctx, agent.Work{Method: fasthttp.MethodGet, Path: "/load"}, nil, "application/json")
+	x, err := c.startExchange(ctx, agent.Work{Method: fasthttp.MethodGet, Path: "/load"}, nil, "application/json")
 	if err != nil {
 		return agent.TargetLoad{}, err
 	}
 	defer x.Close()
 	b, err := io.ReadAll(io.LimitReader(x, maxErrorBody))
 	if err != nil {
-		return agent.TargetLoad{}, c.fail(api.OutcomeUnknown, api.ReasonEngineTruncated, err)
+		return agent.TargetLoad{}, c.newError(api.OutcomeUnknown, api.ReasonEngineTruncated, err)
 	}
 	if x.resp.StatusCode() != fasthttp.StatusOK {
-		return agent.TargetLoad{}, c.fail(api.OutcomeUnknown, api.ReasonEngineRefused, fmt.Errorf("status %d", x.resp.StatusCode()))
+		return agent.TargetLoad{}, c.newError(api.OutcomeUnknown, api.ReasonEngineRefused, fmt.Errorf("status %d", x.resp.StatusCode()))
 	}
 	var l agent.TargetLoad
 	if err := json.Unmarshal(b, &l); err != nil {
-		return agent.TargetLoad{}, c.fail(api.OutcomeUnknown, api.ReasonEngineRefused, err)
+		return agent.TargetLoad{}, c.newError(api.OutcomeUnknown, api.ReasonEngineRefused, err)
 	}
 	return l, nil
 }
--- a/node/engine/generate.go
+++ b/node/engine/generate.go
@@ -16,36 +16,36 @@
 )
 
 const (
-	contentTypeJSON = "application/json"
-	acceptEvents    = "text/event-stream"
-	doneMark        = "[DONE]"
+	contentTypeJSON   = "application/json"
+	contentTypeEvents = "text/event-stream"
+	doneMarker        = "[DONE]"
 )
 
-// Generate implements agent.Target. The engine is always asked to stream and to
-// report usage; the entry gives the caller what it asked for.
+// Generate implements agent.Target. It always requests a stream with usage from
+// the engine; the entry converts the answer to the form that the caller requested.
 func (c *Client) Generate(ctx context.Context, w agent.Work) (agent.Answer, error) {
 	body, err := c.streamBody(w)
 	if err != nil {
-		return nil, c.fail(api.OutcomeNotRun, api.ReasonBadRequest, err)
+		return nil, c.newError(api.OutcomeNotRun, api.ReasonBadRequest, err)
 	}
 	w.Headers = []wire.Header{{Name: "Content-Type", Value: contentTypeJSON}}
-	x, err := c.open(ctx, w, body, acceptEvents)
+	x, err := c.startExchange(ctx, w, body, contentTypeEvents)
 	if err != nil {
 		return nil, err
 	}
 	if x.resp.StatusCode() != fasthttp.StatusOK {
 		defer x.Close()
-		return nil, c.refused(x)
+		return nil, c.refusalError(x)
 	}
 	return &generation{
 		exchange: x,
 		client:   c,
-		events:   sseReader{r: bufio.NewReaderSize(x, readBuffer)},
+		events:   sseReader{r: bufio.NewReaderSize(x, readBufferSize)},
 	}, nil
 }
 
-// streamBody sets the fields that the system needs and leaves all others as the
-// caller wrote them.
+// streamBody sets the fields that the agent needs and leaves all other fields as
+// the caller wrote them.
 func (c *Client) streamBody(w agent.Work) ([]byte, error) {
 	var fields map[string]json.RawMessage
 	if err := json.Unmarshal(w.Body, &fields); err != nil {
@@ -62,16 +62,17 @@
 	return json.Marshal(fields)
 }
 
-// refused reads an engine's error answer. An engine that answers with an error
-// status before any token has not run the request: that is its protocol.
-func (c *Client) refused(x *exchange) error {
+// refusalError reads an engine's response with a status other than 200 and returns
+// an error with the outcome not_run: by its protocol, an engine that responds with
+// an error status before any token has not run the request.
+func (c *Client) refusalError(x *exchange) error {
 	b, _ := io.ReadAll(io.LimitReader(x, maxErrorBody))
 	status := x.resp.StatusCode()
 	reason := api.ReasonEngineRefused
 	if status >= 400 && status < 500 && status != fasthttp.StatusTooManyRequests {
 		reason = api.ReasonBadRequest
 	}
-	return c.fail(api.OutcomeNotRun, reason, errors.New(errorMessage(status, b)))
+	return c.newError(api.OutcomeNotRun, reason, errors.New(errorMessage(status, b)))
 }
 
 func errorMessage(status int, body []byte) string {
@@ -86,7 +87,7 @@
 	return fmt.Sprintf("engine answered with status %d", status)
 }
 
-// generation is a running sequence.
+// generation is the response to a running sequence.
 type generation struct {
 	*exchange
 	client   *Client
@@ -98,32 +99,32 @@
 // Head implements agent.Answer.
 func (g *generation) Head() (int, []wire.Header) { return fasthttp.StatusOK, nil }
 
-// Next implements agent.Answer. The answer is whole only when the engine has
-// given a finish reason and its end mark; a connection that merely closes, as
-// when the engine is killed, would otherwise pass a half answer for a whole one.
+// Next implements agent.Answer. The answer is complete only if the engine has sent
+// a finish reason and then the end marker. Otherwise a connection that is merely
+// closed, as when the engine is killed, would make a partial answer look complete.
 func (g *generation) Next() ([]byte, error) {
 	data, err := g.events.next()
 	if err != nil {
-		return nil, g.cut(err)
+		return nil, g.interruptedError(err)
 	}
-	if string(data) == doneMark {
+	if string(data) == doneMarker {
 		if !g.finished {
-			return nil, g.client.fail(api.OutcomeInterrupted, api.ReasonEngineTruncated, errors.New("end mark without a finish reason"))
+			return nil, g.client.newError(api.OutcomeInterrupted, api.ReasonEngineTruncated, errors.New("end mark without a finish reason"))
 		}
 		return nil, io.EOF
 	}
 	item, finished, err := chunk.Pack(g.item[:0], data)
 	if err != nil {
-		return nil, g.client.fail(api.OutcomeInterrupted, api.ReasonEngineDied, err)
+		return nil, g.client.newError(api.OutcomeInterrupted, api.ReasonEngineDied, err)
 	}
 	g.item = item
 	g.finished = g.finished || finished
 	return item, nil
 }
 
-func (g *generation) cut(err error) error {
+func (g *generation) interruptedError(err error) error {
 	if err == io.EOF {
 		err = io.ErrUnexpectedEOF
 	}
-	return g.client.fail(api.OutcomeInterrupted, readReason(err), err)
+	return g.client.newError(api.OutcomeInterrupted, reasonForReadError(err), err)
 }
--- a/node/engine/sse.go
+++ b/node/engine/sse.go
@@ -1,5 +1,5 @@
-// Package engine is the agent's adapter to a target over HTTP: OpenAI-compatible
-// engines with server-sent events, and plain services.
+// Package engine connects an agent to its target over HTTP: to an
+// OpenAI-compatible engine that streams server-sent events, or to a plain service.
 package engine
 
 import (
@@ -9,34 +9,35 @@
 	"io"
 )
 
-// ErrEventTooLong reports an event beyond the reader's bound.
+// ErrEventTooLong reports an event or a line that exceeds the reader's limit.
 var ErrEventTooLong = errors.New("engine: event too long")
 
-const maxEvent = 1 << 20
+const maxEventBytes = 1 << 20
 
-// sseReader reads server-sent events (WHATWG HTML, section 9.2) as far as
-// engines use them: it gives the data of each event and passes over comments
-// and other fields.
+// sseReader reads server-sent events (WHATWG HTML, section 9.2) to the extent that
+// engines use them: it returns the data of each event and skips comments and other
+// fields.
 type sseReader struct {
 	r    *bufio.Reader
 	data []byte
 }
 
-// next gives the data of the next event, valid until the following call. An
-// event that the stream's end cuts off is not given: io.ErrUnexpectedEOF.
+// next returns the data of the next event, which is valid until the following
+// call. At the end of the stream it returns io.EOF, or io.ErrUnexpectedEOF if it
+// has read complete data lines of an event without the blank line that ends it.
 func (s *sseReader) next() ([]byte, error) {
 	s.data = s.data[:0]
-	some := false
+	hasData := false
 	for {
 		line, err := s.line()
 		if err != nil {
-			if err == io.EOF && some {
+			if err == io.EOF && hasData {
 				return nil, io.ErrUnexpectedEOF
 			}
 			return nil, err
 		}
 		if len(line) == 0 {
-			if some {
+			if hasData {
 				return s.data, nil
 			}
 			continue
@@ -45,19 +46,20 @@
 		if !ok {
 			continue
 		}
-		if some {
+		if hasData {
 			s.data = append(s.data, '\n')
 		}
-		some = true
+		hasData = true
 		s.data = append(s.data, v...)
-		if len(s.data) > maxEvent {
+		if len(s.data) > maxEventBytes {
 			return nil, ErrEventTooLong
 		}
 	}
 }
 
-// line reads one line without its end. A line that the stream's end cuts off is
-// io.EOF: it may be half a line.
+// line returns the next line without its line ending. For a line that is cut
+// off by the end of the stream it returns io.EOF, since the line may be
+// incomplete.
 func (s *sseReader) line() ([]byte, error) {
 	line, err := s.r.ReadSlice('\n')
 	if err == bufio.ErrBufferFull {
@@ -72,7 +74,7 @@
 
 func (s *sseReader) longLine(start []byte) ([]byte, error) {
 	long := append([]byte(nil), start...)
-	for len(long) <= maxEvent {
+	for len(long) <= maxEventBytes {
 		part, err := s.r.ReadSlice('\n')
 		long = append(long, part...)
 		if err == bufio.ErrBufferFull {
