--- a/bench/soak/limits.go
+++ b/bench/soak/limits.go
@@ -41,11 +41,11 @@
 		p.mu.Unlock()
 		for range 2 + rng.IntN(2) {
 			rate := rateLeast + rng.Float64()*(rateMost-rateLeast)
-			t.NameLimit(rate)
+			t.SetLimit(rate)
 			check.Limited(id, p.service, rate)
 			pause(ctx, limitLeast+time.Duration(rng.Int64N(int64(limitMost-limitLeast))))
 		}
-		t.NameNoLimit()
+		t.ClearLimit()
 		check.Unlimited(id)
 	}
 }
