--- a/node/control/client.go
+++ b/node/control/client.go
@@ -147,7 +147,7 @@
 
 // Run dials members, and dials again whenever the link ends, until ctx is done.
 func (c *Client) Run(ctx context.Context) {
-	link.Keep(ctx, retryMin, retryMax, func() bool { return c.runLink(ctx) })
+	link.RunWithBackoff(ctx, retryMin, retryMax, func() bool { return c.runLink(ctx) })
 }
 
 func sleep(ctx context.Context, d time.Duration) {
--- a/node/control/transport.go
+++ b/node/control/transport.go
@@ -120,7 +120,9 @@
 	p := &peer{addr: addr, cancel: cancel}
 	l.outgoing[id] = p
 	patience := link.NewPatience(minDialTimeout, maxDialTimeout)
-	l.wg.Go(func() { link.Keep(ctx, redialMin, redialMax, func() bool { return l.dialAndRun(ctx, p, patience) }) })
+	l.wg.Go(func() {
+		link.RunWithBackoff(ctx, redialMin, redialMax, func() bool { return l.dialAndRun(ctx, p, patience) })
+	})
 }
 
 // dialAndRun dials the peer once and runs the link until it ends. It reports whether
--- a/node/link/keep.go
+++ b/node/link/keep.go
@@ -6,11 +6,11 @@
 	"time"
 )
 
-// Keep runs once again and again until ctx is done, with a pause between that
+// RunWithBackoff runs once again and again until ctx is done, with a pause between that
 // doubles from least to most. once tells whether it got somewhere; the next pause is
 // then the least again. The pause is jittered by half of it either way, so that
 // processes which lost one peer in the same instant don't come back in one.
-func Keep(ctx context.Context, least, most time.Duration, once func() bool) {
+func RunWithBackoff(ctx context.Context, least, most time.Duration, once func() bool) {
 	pause := least
 	for ctx.Err() == nil {
 		if once() {
--- a/node/link/keep_test.go
+++ b/node/link/keep_test.go
@@ -17,7 +17,7 @@
 		ctx, cancel := context.WithCancel(context.Background())
 		var at []time.Time
 		const reached = 6
-		Keep(ctx, 100*time.Millisecond, time.Second, func() bool {
+		RunWithBackoff(ctx, 100*time.Millisecond, time.Second, func() bool {
 			at = append(at, time.Now())
 			if len(at) == 2*reached {
 				cancel()
--- a/node/registry/follow.go
+++ b/node/registry/follow.go
@@ -112,7 +112,7 @@
 	f.cancels[addr] = cancel
 	patience := link.NewPatience(dialTimeoutMin, dialTimeoutMax)
 	f.wg.Go(func() {
-		link.Keep(ctx, reconnectDelayMin, reconnectDelayMax, func() bool { return f.connectAndReceive(ctx, addr, patience) })
+		link.RunWithBackoff(ctx, reconnectDelayMin, reconnectDelayMax, func() bool { return f.connectAndReceive(ctx, addr, patience) })
 	})
 }
 
