--- a/node/control/client.go
+++ b/node/control/client.go
@@ -107,7 +107,7 @@
 	drainsIndex uint64
 	// dialFailing is true if the last dial failed. Only the goroutine of Run uses it.
 	dialFailing bool
-	patience    *link.Patience
+	patience    *link.Dialer
 }
 
 // NewClient returns a client. Run must be called to connect it.
@@ -141,7 +141,7 @@
 	}
 	return &Client{
 		opt: opt, up: make(chan struct{}), waiting: make(map[uint64]chan *Reply), failedAt: make(map[string]time.Time),
-		patience: link.NewPatience(minDialTimeout, maxClientDialTimeout),
+		patience: link.NewDialer(minDialTimeout, maxClientDialTimeout),
 	}
 }
 
--- a/node/control/transport.go
+++ b/node/control/transport.go
@@ -15,7 +15,7 @@
 	redialMin = 50 * time.Millisecond
 	redialMax = time.Second
 	// minDialTimeout and maxDialTimeout bound the time of one dial, which grows with
-	// each failure in a row; see link.Patience.
+	// each failure in a row; see link.Dialer.
 	minDialTimeout = 200 * time.Millisecond
 	maxDialTimeout = 2 * time.Second
 )
@@ -119,7 +119,7 @@
 	ctx, cancel := context.WithCancel(l.ctx)
 	p := &peer{addr: addr, cancel: cancel}
 	l.outgoing[id] = p
-	patience := link.NewPatience(minDialTimeout, maxDialTimeout)
+	patience := link.NewDialer(minDialTimeout, maxDialTimeout)
 	l.wg.Go(func() {
 		link.RunWithBackoff(ctx, redialMin, redialMax, func() bool { return l.dialAndRun(ctx, p, patience) })
 	})
@@ -127,7 +127,7 @@
 
 // dialAndRun dials the peer once and runs the link until it ends. It reports whether
 // the dial succeeded.
-func (l *Links) dialAndRun(ctx context.Context, p *peer, patience *link.Patience) bool {
+func (l *Links) dialAndRun(ctx context.Context, p *peer, patience *link.Dialer) bool {
 	conn, err := patience.Dial(ctx, p.addr, l.opt)
 	if err != nil {
 		return false
--- a/node/link/patience.go
+++ b/node/link/patience.go
@@ -5,23 +5,23 @@
 	"time"
 )
 
-// Patience dials one peer, or one group of peers, and gives each attempt more time
+// Dialer dials one peer, or one group of peers, and gives each attempt more time
 // than the one before, from a least to a most. It is not safe for concurrent use.
 //
 // A peer that is not up yet answers nothing. A first attempt is given up soon, so that it is
 // reached once it is up; a peer that is only slow is reached by a later one.
-type Patience struct {
+type Dialer struct {
 	least, most time.Duration
 	next        time.Duration
 }
 
-// NewPatience gives attempts from least to most, doubled at each failure in a row.
-func NewPatience(least, most time.Duration) *Patience {
-	return &Patience{least: least, most: most, next: least}
+// NewDialer gives attempts from least to most, doubled at each failure in a row.
+func NewDialer(least, most time.Duration) *Dialer {
+	return &Dialer{least: least, most: most, next: least}
 }
 
 // Dial opens a link within the time of this attempt.
-func (p *Patience) Dial(ctx context.Context, addr string, opt Options) (*Conn, error) {
+func (p *Dialer) Dial(ctx context.Context, addr string, opt Options) (*Conn, error) {
 	ctx, cancel := context.WithTimeout(ctx, p.next)
 	defer cancel()
 	conn, err := Dial(ctx, addr, opt)
@@ -29,7 +29,7 @@
 	return conn, err
 }
 
-func (p *Patience) note(err error) {
+func (p *Dialer) note(err error) {
 	if err == nil {
 		p.next = p.least
 		return
--- a/node/link/patience_test.go
+++ b/node/link/patience_test.go
@@ -14,7 +14,7 @@
 // up to the most, so that a slow peer is reached in the end.
 func TestPatienceGrows(t *testing.T) {
 	c := qt.New(t)
-	p := NewPatience(100*time.Millisecond, 350*time.Millisecond)
+	p := NewDialer(100*time.Millisecond, 350*time.Millisecond)
 	var waits []time.Duration
 	for range 4 {
 		waits = append(waits, p.next)
@@ -32,7 +32,7 @@
 	silent, err := net.Listen("tcp", "127.0.0.1:0")
 	c.Assert(err, qt.IsNil)
 	defer silent.Close()
-	p := NewPatience(30*time.Millisecond, time.Second)
+	p := NewDialer(30*time.Millisecond, time.Second)
 	_, err = p.Dial(context.Background(), silent.Addr().String(), Options{})
 	c.Assert(err, qt.IsNotNil)
 	c.Assert(p.next, qt.Equals, 60*time.Millisecond)
--- a/node/registry/follow.go
+++ b/node/registry/follow.go
@@ -21,7 +21,7 @@
 	// reconnect soon to a member that has restarted.
 	reconnectDelayMin = 50 * time.Millisecond
 	reconnectDelayMax = time.Second
-	// dialTimeoutMin and dialTimeoutMax bound the time of one dial; see link.Patience.
+	// dialTimeoutMin and dialTimeoutMax bound the time of one dial; see link.Dialer.
 	dialTimeoutMin = 200 * time.Millisecond
 	dialTimeoutMax = time.Second
 )
@@ -110,7 +110,7 @@
 func (f *Follower) start(addr string) {
 	ctx, cancel := context.WithCancel(f.ctx)
 	f.cancels[addr] = cancel
-	patience := link.NewPatience(dialTimeoutMin, dialTimeoutMax)
+	patience := link.NewDialer(dialTimeoutMin, dialTimeoutMax)
 	f.wg.Go(func() {
 		link.RunWithBackoff(ctx, reconnectDelayMin, reconnectDelayMax, func() bool { return f.connectAndReceive(ctx, addr, patience) })
 	})
@@ -118,7 +118,7 @@
 
 // connectAndReceive opens a link to addr and handles its messages until it ends. It reports
 // whether a link was opened.
-func (f *Follower) connectAndReceive(ctx context.Context, addr string, patience *link.Patience) bool {
+func (f *Follower) connectAndReceive(ctx context.Context, addr string, patience *link.Dialer) bool {
 	conn, err := patience.Dial(ctx, addr, f.opt.Link)
 	if err != nil {
 		return false
