--- a/node/control/client.go
+++ b/node/control/client.go
@@ -175,7 +175,7 @@
 	var wg conc.WaitGroup
 	wg.Go(func() { c.reportLoop(ctx, conn) })
 	conn.Run(ctx, func(m wire.Message) { c.handle(conn, m) })
-	if conn.Why() == link.CloseSilence {
+	if conn.CloseReason() == link.CloseSilence {
 		c.markFailed(addr)
 	}
 	c.detach(conn)
--- a/node/link/link.go
+++ b/node/link/link.go
@@ -131,8 +131,8 @@
 // Done is closed when the link has ended.
 func (c *Conn) Done() <-chan struct{} { return c.closed }
 
-// Why tells how the link ended, "" while it is up.
-func (c *Conn) Why() string {
+// CloseReason tells how the link ended, "" while it is up.
+func (c *Conn) CloseReason() string {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.why
@@ -235,7 +235,7 @@
 	})
 	c.readLoop(handle)
 	wg.Wait()
-	return c.Why()
+	return c.CloseReason()
 }
 
 func (c *Conn) readLoop(handle func(wire.Message)) {
--- a/node/link/link_test.go
+++ b/node/link/link_test.go
@@ -158,7 +158,7 @@
 		}
 	}
 	c.Assert(err, qt.ErrorIs, ErrClosed)
-	c.Assert(conn.Why(), qt.Equals, CloseBacklog)
+	c.Assert(conn.CloseReason(), qt.Equals, CloseBacklog)
 }
 
 func FuzzDecode(f *testing.F) {
