--- a/node/link/accept.go
+++ b/node/link/accept.go
@@ -8,16 +8,17 @@
 	"github.com/valyala/fasthttp"
 )
 
-// Acceptor takes links on a fasthttp server. Give its Handler to the server
-// that listens for the system's own processes.
+// Acceptor accepts links on a fasthttp server. Its Handler must be installed on
+// the server that listens for connections of the system's own processes.
 type Acceptor struct {
 	opt      Options
 	serve    func(*Conn)
 	upgrader websocket.FastHTTPUpgrader
 }
 
-// NewAcceptor makes an acceptor that calls serve for each proved link, on a
-// goroutine of its own. serve runs the link and returns when it has ended.
+// NewAcceptor returns an acceptor that calls serve, on a separate goroutine, for
+// each link whose handshake has succeeded. serve must run the link and return
+// when the link has ended.
 func NewAcceptor(opt Options, serve func(*Conn)) *Acceptor {
 	return &Acceptor{
 		opt:   opt.withDefaults(),
@@ -30,7 +31,8 @@
 	}
 }
 
-// Handler upgrades requests for the link path and refuses all others.
+// Handler upgrades requests for the link path to WebSocket connections and
+// answers all other requests with 404.
 func (a *Acceptor) Handler(ctx *fasthttp.RequestCtx) {
 	if string(ctx.Path()) != path {
 		ctx.Error("not found", fasthttp.StatusNotFound)
@@ -54,27 +56,27 @@
 func (a *Acceptor) handshake(ws *websocket.Conn) (Peer, error) {
 	_ = ws.SetReadDeadline(time.Now().Add(handshakeTimeout))
 	ws.SetReadLimit(handshakeLimit)
-	var theirs hello
-	if err := readHandshake(ws, &theirs); err != nil {
+	var remote hello
+	if err := readHandshake(ws, &remote); err != nil {
 		return Peer{}, err
 	}
-	if theirs.Version != protocolVersion {
-		return Peer{}, fmt.Errorf("%w: %d", ErrVersion, theirs.Version)
+	if remote.Version != protocolVersion {
+		return Peer{}, fmt.Errorf("%w: %d", ErrVersion, remote.Version)
 	}
-	if len(theirs.Nonce) != nonceSize {
+	if len(remote.Nonce) != nonceSize {
 		return Peer{}, ErrProof
 	}
-	mine := hello{Version: protocolVersion, Peer: a.opt.Self, Nonce: newNonce()}
-	mine.Proof = proof(a.opt.Key, sideAcceptor, theirs, mine)
-	if err := writeHandshake(ws, mine); err != nil {
+	local := hello{Version: protocolVersion, Peer: a.opt.Self, Nonce: newNonce()}
+	local.Proof = proof(a.opt.Key, sideAcceptor, remote, local)
+	if err := writeHandshake(ws, local); err != nil {
 		return Peer{}, err
 	}
 	var c confirm
 	if err := readHandshake(ws, &c); err != nil {
 		return Peer{}, err
 	}
-	if err := checkProof(c.Proof, proof(a.opt.Key, sideDialler, theirs, mine)); err != nil {
+	if err := checkProof(c.Proof, proof(a.opt.Key, sideDialler, remote, local)); err != nil {
 		return Peer{}, err
 	}
-	return theirs.Peer, nil
+	return remote.Peer, nil
 }
--- a/node/link/auth.go
+++ b/node/link/auth.go
@@ -10,48 +10,49 @@
 	"almondseam.dev/core/api"
 )
 
-// protocolVersion is raised when a neighbouring version can no longer be
-// understood.
+// protocolVersion is incremented when consecutive versions of the protocol can no
+// longer understand each other. A peer with another version is rejected.
 const protocolVersion = 1
 
 const nonceSize = 32
 
-// ErrProof reports a peer that does not hold the fleet key.
+// ErrProof reports that the peer did not prove that it holds the fleet key.
 var ErrProof = errors.New("link: peer does not hold the fleet key")
 
 // ErrVersion reports a peer that speaks another version of the protocol.
 var ErrVersion = errors.New("link: peer speaks another protocol version")
 
-// Role tells what a process is on a link.
+// Role is the kind of a process at one end of a link.
 type Role string
 
-// The roles of processes.
+// The roles of the processes that use links.
 const (
 	RoleEntry   Role = "entry"
 	RoleAgent   Role = "agent"
 	RoleControl Role = "control"
 )
 
-// Peer is what a process says of itself in the handshake. Both ends' words are
-// covered by the proofs.
+// Peer is the identity that a process sends in the handshake. The proofs of both
+// ends cover both identities.
 type Peer struct {
 	Instance api.InstanceID `cbor:"1,keyasint"`
 	Zone     api.Zone       `cbor:"2,keyasint,omitempty"`
 	Role     Role           `cbor:"3,keyasint"`
-	// Start tells two runs of one instance apart.
+	// Start distinguishes two runs of a process on the same instance.
 	Start uint64 `cbor:"4,keyasint,omitempty"`
 }
 
-// hello is the first message of each side.
+// hello is the first handshake message that each end sends.
 type hello struct {
 	Version int    `cbor:"1,keyasint"`
 	Peer    Peer   `cbor:"2,keyasint"`
 	Nonce   []byte `cbor:"3,keyasint"`
-	// Proof is set by the accepting side, which has seen the other's nonce.
+	// Proof is set by the accepting end only: it answers the dialling end's hello
+	// and so knows the nonces of both ends.
 	Proof []byte `cbor:"4,keyasint,omitempty"`
 }
 
-// confirm is the dialling side's proof.
+// confirm is the last handshake message and carries the dialling end's proof.
 type confirm struct {
 	Proof []byte `cbor:"1,keyasint"`
 }
@@ -62,9 +63,10 @@
 	return b
 }
 
-// proof binds the key to both nonces, both peers and the direction. Without the
-// direction an attacker could send a side's own proof back to it; without the
-// peers it could keep the nonces and change the names.
+// proof returns an HMAC with the fleet key over the proving side, both nonces and
+// both identities. Without the side an attacker could reflect the proof of one end
+// back to it; without the identities an attacker could relay the nonces and change
+// who the ends claim to be.
 func proof(key []byte, side string, dialler, acceptor hello) []byte {
 	mac := hmac.New(sha256.New, key)
 	for _, part := range [][]byte{
@@ -72,13 +74,13 @@
 		dialler.Nonce, peerBytes(dialler.Peer),
 		acceptor.Nonce, peerBytes(acceptor.Peer),
 	} {
-		mac.Write(lengthOf(part))
+		mac.Write(lengthPrefix(part))
 		mac.Write(part)
 	}
 	return mac.Sum(nil)
 }
 
-func lengthOf(b []byte) []byte {
+func lengthPrefix(b []byte) []byte {
 	n := len(b)
 	return []byte{byte(n >> 24), byte(n >> 16), byte(n >> 8), byte(n)}
 }
--- a/node/link/dial.go
+++ b/node/link/dial.go
@@ -10,10 +10,13 @@
 	"github.com/fasthttp/websocket"
 )
 
-// path is where links are accepted.
+// path is the HTTP path on which links are accepted.
 const path = "/link"
 
-// Dial opens a link to addr ("host:port") and proves the fleet key both ways.
+// Dial opens a link to addr ("host:port"). Both ends prove in the handshake that
+// they hold the fleet key. ctx bounds the connection and the WebSocket upgrade;
+// reading the handshake has a timeout of its own. Dial does not wait for the peer to
+// check this end's proof: if the peer rejects it, the link closes with ClosePeer.
 func Dial(ctx context.Context, addr string, opt Options) (*Conn, error) {
 	opt = opt.withDefaults()
 	d := websocket.Dialer{
@@ -40,22 +43,22 @@
 func dialHandshake(ws *websocket.Conn, opt Options) (Peer, error) {
 	_ = ws.SetReadDeadline(time.Now().Add(handshakeTimeout))
 	ws.SetReadLimit(handshakeLimit)
-	mine := hello{Version: protocolVersion, Peer: opt.Self, Nonce: newNonce()}
-	if err := writeHandshake(ws, mine); err != nil {
+	local := hello{Version: protocolVersion, Peer: opt.Self, Nonce: newNonce()}
+	if err := writeHandshake(ws, local); err != nil {
 		return Peer{}, err
 	}
-	var theirs hello
-	if err := readHandshake(ws, &theirs); err != nil {
+	var remote hello
+	if err := readHandshake(ws, &remote); err != nil {
 		return Peer{}, err
 	}
-	if theirs.Version != protocolVersion {
-		return Peer{}, fmt.Errorf("%w: %d", ErrVersion, theirs.Version)
+	if remote.Version != protocolVersion {
+		return Peer{}, fmt.Errorf("%w: %d", ErrVersion, remote.Version)
 	}
-	if err := checkProof(theirs.Proof, proof(opt.Key, sideAcceptor, mine, theirs)); err != nil {
+	if err := checkProof(remote.Proof, proof(opt.Key, sideAcceptor, local, remote)); err != nil {
 		return Peer{}, err
 	}
-	if err := writeHandshake(ws, confirm{Proof: proof(opt.Key, sideDialler, mine, theirs)}); err != nil {
+	if err := writeHandshake(ws, confirm{Proof: proof(opt.Key, sideDialler, local, remote)}); err != nil {
 		return Peer{}, err
 	}
-	return theirs.Peer, nil
+	return remote.Peer, nil
 }
--- a/node/link/keep.go
+++ b/node/link/keep.go
@@ -6,22 +6,23 @@
 	"time"
 )
 
-// RunWithBackoff runs once again and again until ctx is done, with a pause between that
-// doubles from least to most. once tells whether it got somewhere; the next pause is
-// then the least again. The pause is jittered by half of it either way, so that
-// processes which lost one peer in the same instant don't come back in one.
-func RunWithBackoff(ctx context.Context, least, most time.Duration, once func() bool) {
-	pause := least
+// RunWithBackoff calls attempt repeatedly until ctx is done. The delay between two
+// calls doubles from minDelay up to maxDelay and returns to minDelay after a call
+// that returned true, which reports success. Each delay is jittered by up to half of
+// it in either direction, so that processes that lost the same peer at the same
+// moment do not all reconnect at once.
+func RunWithBackoff(ctx context.Context, minDelay, maxDelay time.Duration, attempt func() bool) {
+	delay := minDelay
 	for ctx.Err() == nil {
-		if once() {
-			pause = least
+		if attempt() {
+			delay = minDelay
 		}
-		t := time.NewTimer(pause/2 + rand.N(pause))
+		timer := time.NewTimer(delay/2 + rand.N(delay))
 		select {
 		case <-ctx.Done():
-		case <-t.C:
+		case <-timer.C:
 		}
-		t.Stop()
-		pause = min(2*pause, most)
+		timer.Stop()
+		delay = min(2*delay, maxDelay)
 	}
 }
--- a/node/link/keep_test.go
+++ b/node/link/keep_test.go
@@ -9,26 +9,27 @@
 	qt "github.com/frankban/quicktest"
 )
 
-// A peer is down for long and comes back. It must not be dialled without a pause
-// meanwhile, nor be waited for after it was reached once.
-func TestKeepPausesLongerAndStartsAnew(t *testing.T) {
+// A peer that is down for a long time must not be dialled in a tight loop, so the
+// delay between attempts grows. After an attempt has succeeded, the delay must start
+// at the minimum again.
+func TestRunWithBackoffGrowsAndResets(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := qt.New(t)
 		ctx, cancel := context.WithCancel(context.Background())
-		var at []time.Time
-		const reached = 6
+		var attempts []time.Time
+		const successfulAttempt = 6
 		RunWithBackoff(ctx, 100*time.Millisecond, time.Second, func() bool {
-			at = append(at, time.Now())
-			if len(at) == 2*reached {
+			attempts = append(attempts, time.Now())
+			if len(attempts) == 2*successfulAttempt {
 				cancel()
 			}
-			return len(at) == reached
+			return len(attempts) == successfulAttempt
 		})
-		for i := 1; i < len(at); i++ {
-			gap := at[i].Sub(at[i-1])
+		for i := 1; i < len(attempts); i++ {
+			gap := attempts[i].Sub(attempts[i-1])
 			c.Assert(gap >= 50*time.Millisecond && gap <= 1500*time.Millisecond, qt.IsTrue)
 		}
-		c.Assert(at[reached-1].Sub(at[reached-2]) >= 500*time.Millisecond, qt.IsTrue)
-		c.Assert(at[reached].Sub(at[reached-1]) <= 150*time.Millisecond, qt.IsTrue)
+		c.Assert(attempts[successfulAttempt-1].Sub(attempts[successfulAttempt-2]) >= 500*time.Millisecond, qt.IsTrue)
+		c.Assert(attempts[successfulAttempt].Sub(attempts[successfulAttempt-1]) <= 150*time.Millisecond, qt.IsTrue)
 	})
 }
--- a/node/link/link.go
+++ b/node/link/link.go
@@ -1,8 +1,9 @@
 // Package link carries messages between two processes of the system over one
-// WebSocket. Both ends prove the fleet key; outgoing messages are gathered into
-// as few WebSocket messages as the writer's pace allows; a peer that falls
-// silent, sends a malformed message or lets the queue grow past its bound loses
-// the link with a counted reason, never the process.
+// WebSocket connection. Both ends prove in a handshake that they hold the fleet
+// key. Outgoing messages that wait for the writer are sent in batches, each batch as
+// one WebSocket message. The link is closed, with a reason that is counted, if the
+// peer falls silent, sends a malformed message or reads so slowly that the send
+// queue exceeds its bound. None of these ends the process.
 package link
 
 import (
@@ -21,7 +22,7 @@
 	"github.com/sourcegraph/conc"
 )
 
-// Defaults of Options.
+// Default values of Options, and limits that are not configurable.
 const (
 	DefaultSilence      = 6 * time.Second
 	DefaultMaxMessage   = 4 << 20
@@ -30,11 +31,12 @@
 	handshakeLimit      = 4 << 10
 	pingsPerSilence     = 3
 	bufferSize          = 16 << 10
-	gatherLimit         = 256 << 10
+	batchLimit          = 256 << 10
 	controlWriteTimeout = time.Second
 )
 
-// Why a link ended; each is a label of the metric almondseam_link_closed_total.
+// The reasons for which a link is closed. Each is a label value of the metric
+// almondseam_link_closed_total.
 const (
 	CloseLocal     = "local"
 	ClosePeer      = "peer"
@@ -47,41 +49,49 @@
 // ErrClosed is returned by Send after the link has ended.
 var ErrClosed = errors.New("link: closed")
 
-// ErrTooLarge is returned by Send for a message beyond the peer's bound.
+// ErrTooLarge is returned by Send for a message that, encoded, is longer than
+// Options.MaxMessage of this end less batchLimit.
 var ErrTooLarge = errors.New("link: message too large")
 
 var handshakeEnc = codec.Encoder()
 
 var handshakeDec = codec.Decoder(codec.Bounds{Nesting: 4, Items: 16, Pairs: 16})
 
-// Options of both ends of a link.
+// Options configures one end of a link, dialling or accepting.
 type Options struct {
-	// Key is the fleet key. It must not be empty.
+	// Key is the fleet key. It must not be empty; this package does not check that.
 	Key []byte
-	// Self is what this process says of itself.
+	// Self is the identity that this process sends to the peer.
 	Self Peer
-	// Codec knows the messages of this kind of link.
+	// Codec encodes and decodes the message types of this kind of link.
 	Codec *wire.Codec
-	// Silence ends a link on which nothing has arrived for so long. A stalled
-	// link looks exactly like a quiet one, so both ends ping three times in
-	// that span: silence then means a stall.
+	// Silence is how long nothing may arrive before the link is closed. A stalled
+	// link cannot be told from an idle one, so each end sends three pings in
+	// this time; if nothing at all arrives from the peer, the link has stalled.
 	Silence time.Duration
-	// MaxMessage bounds one WebSocket message in bytes.
+	// MaxMessage bounds the size of one WebSocket message in bytes, sent or
+	// received.
 	MaxMessage int64
-	// MaxQueue bounds the bytes waiting to be written.
+	// MaxQueue bounds the bytes in the send queue. Batches that the writer has
+	// taken from the queue and is writing do not count.
 	MaxQueue int
-	// Observer hears how links come up and end; nil for none.
+	// Observer is notified of links that are established, closed or rejected in
+	// the handshake. It may be nil.
 	Observer Observer
 }
 
-// Observer hears of links. LinkUp and LinkClosed are told once each for every link
-// whose handshake has succeeded, on both sides: a gauge of links that took them
-// from different places fell below zero where one was left out. Its methods may
-// be called from several goroutines.
+// Observer receives the events of links. For every link whose handshake has
+// succeeded, dialled or accepted, LinkUp is called once and LinkClosed is called once
+// when the link is closed. This package makes both calls, because a gauge of links
+// went below zero when the calls were made in different places and one was missing.
+// The methods may be called from several goroutines.
 type Observer interface {
 	LinkUp(peer Peer)
-	LinkClosed(peer Peer, why string)
-	HandshakeFailed(why error)
+	// LinkClosed receives one of the Close constants as the reason.
+	LinkClosed(peer Peer, reason string)
+	// HandshakeFailed is called for a failed handshake and, on the accepting end,
+	// also for a failed WebSocket upgrade.
+	HandshakeFailed(reason error)
 }
 
 type noObserver struct{}
@@ -100,16 +110,17 @@
 	return o
 }
 
-// Conn is one link. Send may be called from several goroutines; Run from one.
+// Conn is one end of a link. Send may be called from several goroutines; Run must
+// be called only once.
 type Conn struct {
 	ws   *websocket.Conn
 	opt  Options
 	peer Peer
 
 	mu     sync.Mutex
-	queue  [][]byte // encoded runs of messages, not yet taken by the writer
+	queue  [][]byte // batches of encoded messages that the writer has not taken yet
 	queued int      // bytes in queue
-	why    string   // set once, at the end
+	reason string   // empty while the link is up; set once
 	wake   chan struct{}
 	closed chan struct{}
 }
@@ -125,38 +136,38 @@
 	}
 }
 
-// Peer tells who is at the other end.
+// Peer returns the identity of the peer.
 func (c *Conn) Peer() Peer { return c.peer }
 
-// Done is closed when the link has ended.
+// Done returns a channel that is closed when the link is closed.
 func (c *Conn) Done() <-chan struct{} { return c.closed }
 
-// CloseReason tells how the link ended, "" while it is up.
+// CloseReason returns why the link was closed, or "" while it is up.
 func (c *Conn) CloseReason() string {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.why
+	return c.reason
 }
 
-// Send queues a message. It never blocks: when the queue passes its bound the
-// link is ended, since a peer that does not read would otherwise hold this
-// process's memory. Streams have credit of their own, so a healthy peer never
-// comes near the bound.
+// Send queues a message for the writer. It does not wait for the network: if the
+// queue exceeds MaxQueue, Send closes the link, because a peer that does not read
+// would otherwise make the memory of this process grow. Each stream has its own flow
+// control by credit, so the queue to a healthy peer stays far below the bound.
 func (c *Conn) Send(m wire.Message) error {
 	c.mu.Lock()
-	if c.why != "" {
+	if c.reason != "" {
 		c.mu.Unlock()
-		return c.fail(ErrClosed)
+		return c.wrapError(ErrClosed)
 	}
 	err := c.enqueue(m)
 	full := c.queued > c.opt.MaxQueue
 	c.mu.Unlock()
 	if err != nil {
-		return c.fail(err)
+		return c.wrapError(err)
 	}
 	if full {
-		c.end(CloseBacklog)
-		return c.fail(ErrClosed)
+		c.closeWith(CloseBacklog)
+		return c.wrapError(ErrClosed)
 	}
 	select {
 	case c.wake <- struct{}{}:
@@ -165,54 +176,56 @@
 	return nil
 }
 
-// enqueue encodes m behind the last run, or into a new one when that run is
-// long enough: a run is written as one WebSocket message, which the peer reads
-// whole and refuses when it is too large.
+// enqueue appends the encoded m to the last batch of the queue, or to a new batch
+// if the last one has reached batchLimit. A batch is written as one WebSocket
+// message, which the peer reads as a whole and rejects if it is too large. c.mu must
+// be held.
 func (c *Conn) enqueue(m wire.Message) error {
 	last := len(c.queue) - 1
-	if last < 0 || len(c.queue[last]) >= gatherLimit {
+	if last < 0 || len(c.queue[last]) >= batchLimit {
 		c.queue = append(c.queue, nil)
 		last++
 	}
 	before := c.queue[last]
-	run, err := c.opt.Codec.Append(before, m)
-	if err == nil && int64(len(run)-len(before)) > c.opt.MaxMessage-gatherLimit {
+	after, err := c.opt.Codec.Append(before, m)
+	if err == nil && int64(len(after)-len(before)) > c.opt.MaxMessage-batchLimit {
 		err = ErrTooLarge
 	}
 	if err != nil {
 		c.queue[last] = before
 		return err
 	}
-	c.queue[last] = run
-	c.queued += len(run) - len(before)
+	c.queue[last] = after
+	c.queued += len(after) - len(before)
 	return nil
 }
 
-func (c *Conn) fail(err error) error {
+func (c *Conn) wrapError(err error) error {
 	return &api.Error{Step: api.StepLink, Peer: string(c.peer.Instance), Outcome: api.OutcomeUnknown, Reason: api.ReasonLinkLost, Err: err}
 }
 
-// Close ends the link from this side.
-func (c *Conn) Close() { c.end(CloseLocal) }
+// Close closes the link with the reason CloseLocal.
+func (c *Conn) Close() { c.closeWith(CloseLocal) }
 
-func (c *Conn) end(why string) {
+func (c *Conn) closeWith(reason string) {
 	c.mu.Lock()
-	if c.why != "" {
+	if c.reason != "" {
 		c.mu.Unlock()
 		return
 	}
-	c.why = why
+	c.reason = reason
 	c.queue = nil
 	close(c.closed)
 	c.mu.Unlock()
 	closeSocket(c.ws)
-	c.opt.Observer.LinkClosed(c.peer, why)
+	c.opt.Observer.LinkClosed(c.peer, reason)
 }
 
-// closeSocket closes the connection itself. On the accepting side the server
-// library's Close does nothing until its handler has returned, so that a link
-// ended here would go on reading for as long as its peer pings: a backlog would
-// stop nobody and a shutdown would wait for ever.
+// closeSocket closes the underlying network connection. On the accepting end, Close
+// of the server library's connection has no effect until the library's handler has
+// returned. The read loop would therefore continue for as long as the peer sends
+// pings: a link closed for its backlog would go on reading, and a shutdown would
+// never finish.
 func closeSocket(ws *websocket.Conn) {
 	if hijacked, ok := ws.NetConn().(interface{ UnsafeConn() net.Conn }); ok {
 		_ = hijacked.UnsafeConn().Close()
@@ -220,16 +233,16 @@
 	_ = ws.Close()
 }
 
-// Run reads until the link ends and gives each message to handle, in order, on
-// this goroutine. It returns why the link ended. It returns early when ctx is
-// done.
+// Run reads from the link and calls handle for each message, in order, on the
+// calling goroutine, until the link is closed. It returns the reason. When ctx is
+// done, Run closes the link with the reason CloseLocal.
 func (c *Conn) Run(ctx context.Context, handle func(wire.Message)) string {
 	var wg conc.WaitGroup
 	wg.Go(c.writeLoop)
 	wg.Go(func() {
 		select {
 		case <-ctx.Done():
-			c.end(CloseLocal)
+			c.closeWith(CloseLocal)
 		case <-c.closed:
 		}
 	})
@@ -241,18 +254,18 @@
 func (c *Conn) readLoop(handle func(wire.Message)) {
 	c.ws.SetReadLimit(c.opt.MaxMessage)
 	c.ws.SetPingHandler(func(data string) error {
-		c.extendRead()
+		c.extendReadDeadline()
 		return c.ws.WriteControl(websocket.PongMessage, []byte(data), time.Now().Add(controlWriteTimeout))
 	})
 	c.ws.SetPongHandler(func(string) error {
-		c.extendRead()
+		c.extendReadDeadline()
 		return nil
 	})
 	for {
-		c.extendRead()
+		c.extendReadDeadline()
 		_, data, err := c.ws.ReadMessage()
 		if err != nil {
-			c.end(readEnd(err))
+			c.closeWith(closeReasonFor(err))
 			return
 		}
 		if !c.dispatch(data, handle) {
@@ -261,13 +274,13 @@
 	}
 }
 
-func (c *Conn) extendRead() { _ = c.ws.SetReadDeadline(time.Now().Add(c.opt.Silence)) }
+func (c *Conn) extendReadDeadline() { _ = c.ws.SetReadDeadline(time.Now().Add(c.opt.Silence)) }
 
 func (c *Conn) dispatch(data []byte, handle func(wire.Message)) bool {
 	for len(data) > 0 {
 		m, rest, err := c.opt.Codec.Decode(data)
 		if err != nil {
-			c.end(CloseMalformed)
+			c.closeWith(CloseMalformed)
 			return false
 		}
 		handle(m)
@@ -276,9 +289,9 @@
 	return true
 }
 
-func readEnd(err error) string {
-	var nerr net.Error
-	if errors.As(err, &nerr) && nerr.Timeout() {
+func closeReasonFor(err error) string {
+	var netErr net.Error
+	if errors.As(err, &netErr) && netErr.Timeout() {
 		return CloseSilence
 	}
 	if errors.Is(err, websocket.ErrReadLimit) {
@@ -296,47 +309,48 @@
 			return
 		case <-tick.C:
 			if err := c.ws.WriteControl(websocket.PingMessage, nil, time.Now().Add(c.opt.Silence)); err != nil {
-				c.end(CloseWrite)
+				c.closeWith(CloseWrite)
 				return
 			}
 		case <-c.wake:
-			if !c.drain() {
+			if !c.flush() {
 				return
 			}
 		}
 	}
 }
 
-// drain writes what is queued, with the write deadline at the silence bound: a
-// write that makes no progress for so long is a stalled link.
-func (c *Conn) drain() bool {
+// flush writes the queued batches until the queue is empty. It reports whether all
+// writes succeeded. If a batch has not been written within Options.Silence, the link
+// has stalled and is closed with the reason CloseWrite.
+func (c *Conn) flush() bool {
 	for {
 		c.mu.Lock()
-		runs := c.queue
+		batches := c.queue
 		c.queue = nil
 		c.queued = 0
 		c.mu.Unlock()
-		if len(runs) == 0 {
+		if len(batches) == 0 {
 			return true
 		}
-		for _, run := range runs {
-			if !c.write(run) {
+		for _, batch := range batches {
+			if !c.write(batch) {
 				return false
 			}
 		}
 	}
 }
 
-func (c *Conn) write(run []byte) bool {
+func (c *Conn) write(batch []byte) bool {
 	_ = c.ws.SetWriteDeadline(time.Now().Add(c.opt.Silence))
-	if err := c.ws.WriteMessage(websocket.BinaryMessage, run); err != nil {
-		c.end(CloseWrite)
+	if err := c.ws.WriteMessage(websocket.BinaryMessage, batch); err != nil {
+		c.closeWith(CloseWrite)
 		return false
 	}
 	return true
 }
 
-// handshakeError wraps a failure with the step and the peer's address.
+// handshakeError wraps a handshake failure with the step and the peer's address.
 func handshakeError(addr string, err error) error {
 	return &api.Error{Step: api.StepHandshake, Peer: addr, Outcome: api.OutcomeNotRun, Reason: api.ReasonUnauthenticated, Err: err}
 }
--- a/node/link/link_test.go
+++ b/node/link/link_test.go
@@ -15,8 +15,9 @@
 )
 
 func TestMain(m *testing.M) {
-	// The server library keeps a clock for the Date header and an idle-worker
-	// sweep that sleeps on after Shutdown; neither holds anything of ours.
+	// Two goroutines of the server library keep sleeping after Shutdown: the one
+	// that updates the Date header and the one that stops idle workers. Neither
+	// refers to anything of this package.
 	goleak.VerifyTestMain(m,
 		goleak.IgnoreAnyFunction("github.com/valyala/fasthttp.(*workerPool).Start.func2"),
 		goleak.IgnoreAnyFunction("github.com/valyala/fasthttp.updateServerDate.func1"))
@@ -28,7 +29,8 @@
 	return Options{Key: []byte(key), Self: Peer{Instance: api.InstanceID(role), Role: role}, Codec: pathCodec}
 }
 
-// listen accepts links on loopback until the test ends.
+// listen accepts links on the loopback interface until the test ends. It returns
+// the address.
 func listen(t *testing.T, opt Options, serve func(*Conn)) string {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -57,8 +59,8 @@
 	conn, err := Dial(context.Background(), addr, options("k", RoleAgent))
 	c.Assert(err, qt.IsNil)
 	c.Assert(conn.Peer().Role, qt.Equals, RoleEntry)
-	ran := make(chan string)
-	go func() { ran <- conn.Run(context.Background(), func(wire.Message) {}) }()
+	dialerReason := make(chan string)
+	go func() { dialerReason <- conn.Run(context.Background(), func(wire.Message) {}) }()
 	for i := range uint64(n) {
 		c.Assert(conn.Send(&wire.Ack{Offset: i}), qt.IsNil)
 	}
@@ -66,12 +68,13 @@
 		c.Assert(<-got, qt.Equals, i)
 	}
 	conn.Close()
-	c.Assert(<-ran, qt.Equals, CloseLocal)
+	c.Assert(<-dialerReason, qt.Equals, CloseLocal)
 	c.Assert(conn.Send(&wire.Ack{}), qt.ErrorIs, ErrClosed)
 }
 
-// A process with another fleet key dials. It must learn nothing and be able to
-// send nothing: each end proves the key before any message is taken.
+// A process dials with a wrong fleet key. Neither end may accept messages before the
+// other end has proved the key. The dialling end checks the acceptor's proof first and
+// must report ErrProof; the acceptor must not serve the link.
 func TestWrongKeyIsRefusedByTheDiallerFirst(t *testing.T) {
 	c := qt.New(t)
 	addr := listen(t, options("right", RoleEntry), func(conn *Conn) { t.Error("served") })
@@ -79,8 +82,8 @@
 	c.Assert(err, qt.ErrorIs, ErrProof)
 }
 
-// A peer skips the proof check on its side and sends its messages at once. The
-// accepting end must not serve it.
+// A peer without the fleet key does not check the acceptor's proof and sends it back
+// as its own. The accepting end must not serve the link.
 func TestAcceptorRefusesBadProof(t *testing.T) {
 	c := qt.New(t)
 	addr := listen(t, options("right", RoleEntry), func(conn *Conn) { t.Error("served") })
@@ -95,8 +98,8 @@
 	c.Assert(err, qt.IsNotNil)
 }
 
-// The peer's bytes are not CBOR, or name a kind nobody knows. The link ends
-// with a counted reason and the process goes on.
+// The peer sends bytes that are not valid CBOR, or a message of an unknown kind. The
+// link must be closed as malformed, and the process must continue.
 func TestMalformedMessageEndsTheLink(t *testing.T) {
 	for name, raw := range map[string][]byte{
 		"truncated":     {0x0a, 0xa2},
@@ -108,44 +111,46 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			c := qt.New(t)
-			why := make(chan string, 1)
+			reason := make(chan string, 1)
 			addr := listen(t, options("k", RoleEntry), func(conn *Conn) {
-				why <- conn.Run(context.Background(), func(wire.Message) {})
+				reason <- conn.Run(context.Background(), func(wire.Message) {})
 			})
 			conn, err := Dial(context.Background(), addr, options("k", RoleAgent))
 			c.Assert(err, qt.IsNil)
 			c.Assert(conn.ws.WriteMessage(websocket.BinaryMessage, raw), qt.IsNil)
-			c.Assert(<-why, qt.Equals, CloseMalformed)
+			c.Assert(<-reason, qt.Equals, CloseMalformed)
 			conn.Close()
 		})
 	}
 }
 
-// The link stalls without closing: TCP stays up, nothing arrives. Both ends
-// must notice within the silence bound, or streams would hang for ever.
+// The link stalls without being closed: the TCP connection stays open and nothing
+// arrives. An end must detect that after Options.Silence, or streams would hang
+// forever.
 func TestSilenceEndsTheLink(t *testing.T) {
 	c := qt.New(t)
 	opt := options("k", RoleEntry)
 	opt.Silence = 200 * time.Millisecond
-	why := make(chan string, 1)
+	reason := make(chan string, 1)
 	addr := listen(t, opt, func(conn *Conn) {
-		why <- conn.Run(context.Background(), func(wire.Message) {})
+		reason <- conn.Run(context.Background(), func(wire.Message) {})
 	})
 	conn, err := Dial(context.Background(), addr, options("k", RoleAgent))
 	c.Assert(err, qt.IsNil)
-	// Run is never called on this end, so it neither reads nor pings.
-	c.Assert(<-why, qt.Equals, CloseSilence)
+	// Run is not called on the dialling end, so that end neither reads nor pings.
+	c.Assert(<-reason, qt.Equals, CloseSilence)
 	conn.Close()
 }
 
-// The peer stops reading. The queue reaches its bound and the link ends; the
-// sender never blocks.
+// The peer does not read, and nothing leaves the send queue because Run is not called
+// on the dialling end. The link must be closed when the queue exceeds its bound, and
+// Send must not block.
 func TestBacklogEndsTheLink(t *testing.T) {
 	c := qt.New(t)
-	ended := make(chan struct{})
-	defer close(ended)
+	release := make(chan struct{})
+	defer close(release)
 	addr := listen(t, options("k", RoleEntry), func(conn *Conn) {
-		<-ended
+		<-release
 		conn.Close()
 	})
 	opt := options("k", RoleAgent)
@@ -181,22 +186,23 @@
 	})
 }
 
-// The accepting side ends a link whose peer is alive and pings on. Both ends must
-// be gone at once; before, the accepting one read on until its peer fell silent.
+// The accepting end closes a link whose peer is alive and keeps sending pings. Run
+// must return on both ends at once. Before closeSocket closed the underlying
+// connection, the accepting end kept reading until its peer fell silent.
 func TestAcceptorCanEndALink(t *testing.T) {
 	c := qt.New(t)
 	opt := options("k", RoleEntry)
 	accepted := make(chan *Conn, 1)
-	why := make(chan string, 1)
+	reason := make(chan string, 1)
 	addr := listen(t, opt, func(conn *Conn) {
 		accepted <- conn
-		why <- conn.Run(context.Background(), func(wire.Message) {})
+		reason <- conn.Run(context.Background(), func(wire.Message) {})
 	})
 	conn, err := Dial(context.Background(), addr, options("k", RoleAgent))
 	c.Assert(err, qt.IsNil)
-	ran := make(chan string, 1)
-	go func() { ran <- conn.Run(context.Background(), func(wire.Message) {}) }()
+	dialerReason := make(chan string, 1)
+	go func() { dialerReason <- conn.Run(context.Background(), func(wire.Message) {}) }()
 	(<-accepted).Close()
-	c.Assert(<-why, qt.Equals, CloseLocal)
-	c.Assert(<-ran, qt.Equals, ClosePeer)
+	c.Assert(<-reason, qt.Equals, CloseLocal)
+	c.Assert(<-dialerReason, qt.Equals, ClosePeer)
 }
--- a/node/link/patience.go
+++ b/node/link/patience.go
@@ -5,34 +5,39 @@
 	"time"
 )
 
-// Dialer dials one peer, or one group of peers, and gives each attempt more time
-// than the one before, from a least to a most. It is not safe for concurrent use.
+// Dialer dials one peer, or one group of peers, with a timeout that doubles after
+// each consecutive failure, from a minimum to a maximum. It is not safe for
+// concurrent use.
 //
-// A peer that is not up yet answers nothing. A first attempt is given up soon, so that it is
-// reached once it is up; a peer that is only slow is reached by a later one.
+// A peer that is not up yet does not answer at all. The short timeout of the first
+// attempts lets the next one reach the peer soon after it has come up; the longer
+// timeouts of later attempts reach a peer that is only slow.
 type Dialer struct {
-	least, most time.Duration
-	next        time.Duration
+	minTimeout, maxTimeout time.Duration
+	nextTimeout            time.Duration
 }
 
-// NewDialer gives attempts from least to most, doubled at each failure in a row.
-func NewDialer(least, most time.Duration) *Dialer {
-	return &Dialer{least: least, most: most, next: least}
+// NewDialer returns a Dialer whose timeout starts at minTimeout, doubles after each
+// consecutive failure up to maxTimeout and returns to minTimeout after a success.
+func NewDialer(minTimeout, maxTimeout time.Duration) *Dialer {
+	return &Dialer{minTimeout: minTimeout, maxTimeout: maxTimeout, nextTimeout: minTimeout}
 }
 
-// Dial opens a link within the time of this attempt.
-func (p *Dialer) Dial(ctx context.Context, addr string, opt Options) (*Conn, error) {
-	ctx, cancel := context.WithTimeout(ctx, p.next)
+// Dial opens a link with the current timeout and adjusts the timeout for the next
+// attempt. The timeout bounds the connection and the WebSocket upgrade; see the
+// function Dial for the handshake.
+func (d *Dialer) Dial(ctx context.Context, addr string, opt Options) (*Conn, error) {
+	ctx, cancel := context.WithTimeout(ctx, d.nextTimeout)
 	defer cancel()
 	conn, err := Dial(ctx, addr, opt)
-	p.note(err)
+	d.adjustTimeout(err)
 	return conn, err
 }
 
-func (p *Dialer) note(err error) {
+func (d *Dialer) adjustTimeout(err error) {
 	if err == nil {
-		p.next = p.least
+		d.nextTimeout = d.minTimeout
 		return
 	}
-	p.next = min(2*p.next, p.most)
+	d.nextTimeout = min(2*d.nextTimeout, d.maxTimeout)
 }
--- a/node/link/patience_test.go
+++ b/node/link/patience_test.go
@@ -9,31 +9,31 @@
 	qt "github.com/frankban/quicktest"
 )
 
-// A machine without power answers nothing. The first attempt is given up soon, so
-// that a second one meets the machine when it is back; each further one waits longer,
-// up to the most, so that a slow peer is reached in the end.
-func TestPatienceGrows(t *testing.T) {
+// An instance without power does not answer at all. The first attempt must time out
+// soon, so that a later one reaches the instance once it is back. Each failure must
+// double the timeout up to the maximum, so that a slow peer is reached eventually.
+func TestDialerTimeoutGrows(t *testing.T) {
 	c := qt.New(t)
-	p := NewDialer(100*time.Millisecond, 350*time.Millisecond)
-	var waits []time.Duration
+	d := NewDialer(100*time.Millisecond, 350*time.Millisecond)
+	var timeouts []time.Duration
 	for range 4 {
-		waits = append(waits, p.next)
-		p.note(context.DeadlineExceeded)
+		timeouts = append(timeouts, d.nextTimeout)
+		d.adjustTimeout(context.DeadlineExceeded)
 	}
-	c.Assert(waits, qt.DeepEquals, []time.Duration{100 * time.Millisecond, 200 * time.Millisecond, 350 * time.Millisecond, 350 * time.Millisecond})
-	p.note(nil)
-	c.Assert(p.next, qt.Equals, 100*time.Millisecond)
+	c.Assert(timeouts, qt.DeepEquals, []time.Duration{100 * time.Millisecond, 200 * time.Millisecond, 350 * time.Millisecond, 350 * time.Millisecond})
+	d.adjustTimeout(nil)
+	c.Assert(d.nextTimeout, qt.Equals, 100*time.Millisecond)
 }
 
-// A peer takes the connection and says nothing. The dial ends with an error of its
-// own, and the next one has more time.
-func TestPatienceGivesASilentPeerUp(t *testing.T) {
+// A peer accepts the connection and sends nothing. The dial must fail by its own
+// timeout, and the next dial must have a longer one.
+func TestDialerTimesOutOnASilentPeer(t *testing.T) {
 	c := qt.New(t)
 	silent, err := net.Listen("tcp", "127.0.0.1:0")
 	c.Assert(err, qt.IsNil)
 	defer silent.Close()
-	p := NewDialer(30*time.Millisecond, time.Second)
-	_, err = p.Dial(context.Background(), silent.Addr().String(), Options{})
+	d := NewDialer(30*time.Millisecond, time.Second)
+	_, err = d.Dial(context.Background(), silent.Addr().String(), Options{})
 	c.Assert(err, qt.IsNotNil)
-	c.Assert(p.next, qt.Equals, 60*time.Millisecond)
+	c.Assert(d.nextTimeout, qt.Equals, 60*time.Millisecond)
 }
