--- a/node/logsink/logsink.go
+++ b/node/logsink/logsink.go
@@ -1,6 +1,7 @@
-// Package logsink writes log lines without ever holding up who logs. Lines wait in
-// a bounded queue; what finds it full, or comes faster than the bound, is left out
-// and counted, and the count is written once there is room again.
+// Package logsink writes log lines without ever blocking the goroutine that logs.
+// Lines wait in a bounded queue. A line is dropped and counted if the queue is full or
+// the rate limit is exceeded; the count is written to the log after the next batch of
+// lines.
 package logsink
 
 import (
@@ -11,39 +12,44 @@
 )
 
 const (
-	// queueLines is how many lines may wait: a burst of a few seconds.
-	queueLines = 2048
-	// maxLinesPerSecond bounds the volume. One entry at its peak writes some two
-	// hundred lines a second; ten times that is a fault that repeats itself.
+	// queueCapacity is the number of lines that may wait to be written: a burst of
+	// about one second at maxLinesPerSecond, or of ten seconds at the peak rate of
+	// one entry.
+	queueCapacity = 2048
+	// maxLinesPerSecond limits the volume of the log. One entry writes some two
+	// hundred lines a second at its peak; ten times that rate is taken to be an error
+	// that is logged over and over.
 	maxLinesPerSecond = 2000
-	gatherBytes       = 32 << 10
+	maxBatchBytes     = 32 << 10
 )
 
-// Sink is an io.Writer for whole lines. Safe for concurrent use.
+// Sink is an io.Writer that takes one whole log line per call of Write. It is safe
+// for concurrent use.
 type Sink struct {
 	out   io.Writer
 	lines chan []byte
 	done  chan struct{}
 
-	mu      sync.Mutex
-	closed  bool
-	second  int64
-	count   int
-	dropped uint64
+	mu              sync.Mutex
+	closed          bool
+	second          int64
+	linesThisSecond int
+	dropped         uint64
 }
 
-// New starts a sink that writes to out.
+// New returns a sink that writes to out on a goroutine of its own, until Close.
 func New(out io.Writer) *Sink {
-	s := &Sink{out: out, lines: make(chan []byte, queueLines), done: make(chan struct{})}
+	s := &Sink{out: out, lines: make(chan []byte, queueCapacity), done: make(chan struct{})}
 	go s.run()
 	return s
 }
 
-// Write takes one line; it never blocks and never fails.
+// Write queues one line or drops it. It never blocks on the output and never returns
+// an error.
 func (s *Sink) Write(line []byte) (int, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.closed || !s.within(time.Now().Unix()) {
+	if s.closed || !s.allow(time.Now().Unix()) {
 		s.dropped++
 		return len(line), nil
 	}
@@ -55,16 +61,18 @@
 	return len(line), nil
 }
 
-// within keeps to the volume of one second.
-func (s *Sink) within(second int64) bool {
+// allow counts a line logged in the given Unix second and reports whether that second
+// is still within maxLinesPerSecond. s.mu must be held.
+func (s *Sink) allow(second int64) bool {
 	if second != s.second {
-		s.second, s.count = second, 0
+		s.second, s.linesThisSecond = second, 0
 	}
-	s.count++
-	return s.count <= maxLinesPerSecond
+	s.linesThisSecond++
+	return s.linesThisSecond <= maxLinesPerSecond
 }
 
-// Dropped gives how many lines were left out since the last call.
+// Dropped returns the number of lines dropped since the last call. The sink calls it
+// itself to write that number to the log.
 func (s *Sink) Dropped() uint64 {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -77,18 +85,20 @@
 	defer close(s.done)
 	var buf []byte
 	for line := range s.lines {
-		buf = s.gather(append(buf[:0], line...))
+		buf = s.batch(append(buf[:0], line...))
 		if n := s.Dropped(); n > 0 {
 			buf = fmt.Appendf(buf, "{\"level\":\"warn\",\"what\":\"log lines left out\",\"lines\":%d}\n", n)
 		}
-		// Nobody is left to be told of a log that can't be written.
+		// The error is ignored: there is no other place to report that the log
+		// cannot be written.
 		_, _ = s.out.Write(buf)
 	}
 }
 
-// gather adds the lines that wait, so that one system call writes them.
-func (s *Sink) gather(buf []byte) []byte {
-	for len(buf) < gatherBytes {
+// batch appends waiting lines to buf until the queue is empty or buf has reached
+// maxBatchBytes, so that one system call writes all of them.
+func (s *Sink) batch(buf []byte) []byte {
+	for len(buf) < maxBatchBytes {
 		select {
 		case line, ok := <-s.lines:
 			if !ok {
@@ -102,8 +112,9 @@
 	return buf
 }
 
-// Close writes what waits, but no longer than within: the reader may have stopped.
-func (s *Sink) Close(within time.Duration) {
+// Close stops accepting lines and waits until the queued ones are written, but at most
+// for timeout, because the process that reads the output may have stopped reading.
+func (s *Sink) Close(timeout time.Duration) {
 	s.mu.Lock()
 	if !s.closed {
 		s.closed = true
@@ -112,6 +123,6 @@
 	s.mu.Unlock()
 	select {
 	case <-s.done:
-	case <-time.After(within):
+	case <-time.After(timeout):
 	}
 }
--- a/node/logsink/logsink_test.go
+++ b/node/logsink/logsink_test.go
@@ -10,42 +10,44 @@
 	qt "github.com/frankban/quicktest"
 )
 
-// stuck is a reader that has stopped: writes to it wait until it is let go.
-type stuck struct {
-	let chan struct{}
-	mu  sync.Mutex
-	got bytes.Buffer
+// blockedWriter stands for an output that nobody reads: Write blocks until release is
+// closed.
+type blockedWriter struct {
+	release chan struct{}
+	mu      sync.Mutex
+	written bytes.Buffer
 }
 
-func (s *stuck) Write(b []byte) (int, error) {
-	<-s.let
+func (s *blockedWriter) Write(b []byte) (int, error) {
+	<-s.release
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.got.Write(b)
+	return s.written.Write(b)
 }
 
-// Whoever collects the log stops reading. Requests must go on: a line that finds no
-// room is left out, and how many were is written once there is room again.
+// The log collector stops reading. Requests must go on, so writing a log line must not
+// block: lines that do not fit into the queue are dropped, and their number is written
+// once the collector reads again.
 func TestLogNeverBlocks(t *testing.T) {
 	c := qt.New(t)
-	out := &stuck{let: make(chan struct{})}
+	out := &blockedWriter{release: make(chan struct{})}
 	s := New(out)
-	for range 3 * queueLines {
+	for range 3 * queueCapacity {
 		n, err := s.Write([]byte("line\n"))
 		c.Assert(n, qt.Equals, 5)
 		c.Assert(err, qt.IsNil)
 	}
-	close(out.let)
+	close(out.release)
 	s.Close(time.Minute)
-	c.Assert(strings.Contains(out.got.String(), "log lines left out"), qt.IsTrue)
-	c.Assert(strings.Count(out.got.String(), "line\n") < 3*queueLines, qt.IsTrue)
+	c.Assert(strings.Contains(out.written.String(), "log lines left out"), qt.IsTrue)
+	c.Assert(strings.Count(out.written.String(), "line\n") < 3*queueCapacity, qt.IsTrue)
 }
 
-// A process that ends beside a reader that has stopped must still end.
+// A process must be able to exit while its log collector has stopped reading.
 func TestCloseGivesUpOnAStuckReader(t *testing.T) {
-	out := &stuck{let: make(chan struct{})}
+	out := &blockedWriter{release: make(chan struct{})}
 	s := New(out)
 	_, _ = s.Write([]byte("line\n"))
 	s.Close(time.Millisecond)
-	close(out.let)
+	close(out.release)
 }
--- a/node/ops/ops.go
+++ b/node/ops/ops.go
@@ -1,4 +1,4 @@
-// Package ops is the operations port of a process: metrics, liveness, readiness
+// Package ops serves the operations port of a process: metrics, liveness, readiness
 // and profiles over HTTP.
 package ops
 
@@ -13,8 +13,8 @@
 	"github.com/prometheus/client_golang/prometheus/promhttp"
 )
 
-// Ready tells whether the process can serve, with what is missing if not. It is
-// called from several goroutines.
+// Ready reports whether the process can serve requests and, if it cannot, what is
+// missing. It is called from several goroutines.
 type Ready func() (ok bool, missing string)
 
 // Server serves the operations port.
@@ -23,7 +23,8 @@
 	ln  net.Listener
 }
 
-// New makes a server over a registry that will answer on ln.
+// New returns a server for the metrics in reg and the readiness that ready reports. It
+// answers requests on ln once Serve is called.
 func New(reg *prometheus.Registry, ready Ready, ln net.Listener) *Server {
 	app := fiber.New(fiber.Config{AppName: "almondseam-ops"})
 	app.Get("/metrics", adaptor.HTTPHandler(promhttp.HandlerFor(reg, promhttp.HandlerOpts{})))
@@ -39,12 +40,12 @@
 	return &Server{app: app, ln: ln}
 }
 
-// Serve answers until Close.
+// Serve answers requests until Close is called.
 func (s *Server) Serve() error {
 	return s.app.Listener(s.ln, fiber.ListenConfig{DisableStartupMessage: true})
 }
 
-// Close stops the server, also one whose Serve has yet to begin.
+// Close stops the server and closes its listener. It may be called before Serve.
 func (s *Server) Close(ctx context.Context) error {
 	err := s.app.ShutdownWithContext(ctx)
 	_ = s.ln.Close()
