--- a/node/metrics/metrics.go
+++ b/node/metrics/metrics.go
@@ -1,7 +1,8 @@
-// Package metrics holds the Prometheus metrics of a process and hears, through
-// the observer ports, what the other packages decide. Every refusal and retry
-// reason is counted from the start with 0, so that an alarm can tell "none"
-// from "not measured".
+// Package metrics holds the Prometheus metrics of a process. It implements the
+// observer interfaces of the other packages and counts and logs the events that they
+// report. The counters of refusals, retries, denied retries and outcomes in Set start
+// with a series of value 0 for each known reason or outcome, so that an alert can
+// tell "none" from "not measured".
 package metrics
 
 import (
@@ -19,47 +20,47 @@
 
 const namespace = "almondseam"
 
-// Set is the metrics of one process with the log they go along with.
+// Set holds the metrics of one process and the log for the events that they count.
 type Set struct {
 	Registry *prometheus.Registry
 	log      *zerolog.Logger
 
-	links      *prometheus.GaugeVec
-	linkClosed *prometheus.CounterVec
-	handshakes prometheus.Counter
-	refusals   *prometheus.CounterVec
-	retries    *prometheus.CounterVec
-	denied     *prometheus.CounterVec
-	ended      *prometheus.CounterVec
-	dropped    *prometheus.CounterVec
-	agentEnded *prometheus.CounterVec
-	evacuated  prometheus.Gauge
+	links         *prometheus.GaugeVec
+	linkClosed    *prometheus.CounterVec
+	refusedLinks  prometheus.Counter
+	refusals      *prometheus.CounterVec
+	retries       *prometheus.CounterVec
+	deniedRetries *prometheus.CounterVec
+	ended         *prometheus.CounterVec
+	dropped       *prometheus.CounterVec
+	agentEnded    *prometheus.CounterVec
+	evacuated     prometheus.Gauge
 }
 
-// New makes a set with a registry of its own.
+// New returns a set with its own registry.
 func New(log *zerolog.Logger) *Set {
 	reg := prometheus.NewRegistry()
 	reg.MustRegister(collectors.NewGoCollector(), collectors.NewProcessCollector(collectors.ProcessCollectorOpts{}))
 	f := promauto.With(reg)
 	s := &Set{
-		Registry:   reg,
-		log:        log,
-		links:      f.NewGaugeVec(gauge("links", "Links that are up, by the role of the peer."), []string{"role"}),
-		linkClosed: f.NewCounterVec(counter("link_closed_total", "Links that ended, by how."), []string{"why"}),
-		handshakes: f.NewCounter(counter("link_refused_total", "Links that were refused in the handshake.")),
-		refusals:   f.NewCounterVec(counter("refusals_total", "Requests refused or ended short, by reason."), []string{"reason"}),
-		retries:    f.NewCounterVec(counter("retries_total", "Attempts after the first, by the reason of the one before."), []string{"reason"}),
-		denied:     f.NewCounterVec(counter("retries_denied_total", "Failed attempts that could have been repeated and were not, by why."), []string{"why"}),
-		ended:      f.NewCounterVec(counter("requests_ended_total", "Requests that an entry placed, by outcome."), []string{"outcome"}),
-		dropped:    f.NewCounterVec(counter("frames_dropped_total", "Frames that an entry did not take, by why."), []string{"why"}),
-		agentEnded: f.NewCounterVec(counter("agent_requests_ended_total", "Requests that an agent took, by outcome."), []string{"outcome"}),
+		Registry:      reg,
+		log:           log,
+		links:         f.NewGaugeVec(gauge("links", "Links that are up, by the role of the peer."), []string{"role"}),
+		linkClosed:    f.NewCounterVec(counter("link_closed_total", "Links that ended, by how."), []string{"why"}),
+		refusedLinks:  f.NewCounter(counter("link_refused_total", "Links that were refused in the handshake.")),
+		refusals:      f.NewCounterVec(counter("refusals_total", "Requests refused or ended short, by reason."), []string{"reason"}),
+		retries:       f.NewCounterVec(counter("retries_total", "Attempts after the first, by the reason of the one before."), []string{"reason"}),
+		deniedRetries: f.NewCounterVec(counter("retries_denied_total", "Failed attempts that could have been repeated and were not, by why."), []string{"why"}),
+		ended:         f.NewCounterVec(counter("requests_ended_total", "Requests that an entry placed, by outcome."), []string{"outcome"}),
+		dropped:       f.NewCounterVec(counter("frames_dropped_total", "Frames that an entry did not take, by why."), []string{"why"}),
+		agentEnded:    f.NewCounterVec(counter("agent_requests_ended_total", "Requests that an agent took, by outcome."), []string{"outcome"}),
 	}
 	s.evacuated = f.NewGauge(gauge("zones_evacuated", "Availability zones whose targets get no new work from this entry."))
-	s.zero()
+	s.initSeries()
 	return s
 }
 
-// Evacuated tells how many availability zones are evacuated.
+// Evacuated sets the gauge of evacuated availability zones.
 func (s *Set) Evacuated(zones int) { s.evacuated.Set(float64(zones)) }
 
 func gauge(name, help string) prometheus.GaugeOpts {
@@ -70,13 +71,14 @@
 	return prometheus.CounterOpts{Namespace: namespace, Name: name, Help: help}
 }
 
-func (s *Set) zero() {
+// initSeries creates the series of all known reasons and outcomes with value 0.
+func (s *Set) initSeries() {
 	for r := range api.Reasons {
 		s.refusals.WithLabelValues(string(r))
 		s.retries.WithLabelValues(string(r))
 	}
 	for _, w := range retry.Denials {
-		s.denied.WithLabelValues(string(w))
+		s.deniedRetries.WithLabelValues(string(w))
 	}
 	for _, o := range []api.Outcome{api.OutcomeCompleted, api.OutcomeNotRun, api.OutcomeInterrupted, api.OutcomeUnknown} {
 		s.ended.WithLabelValues(string(o))
@@ -90,7 +92,7 @@
 	events.LinkUp.Log(s.log).Str("peer", string(p.Instance)).Str("role", string(p.Role)).Send()
 }
 
-// DialFailed implements control.ClientObserver: it tells of a link that could not be opened.
+// DialFailed implements control.ClientObserver.
 func (s *Set) DialFailed(addr string, err error) {
 	events.LinkDialFailed.Log(s.log).Str("peer", addr).Err(err).Send()
 }
@@ -104,7 +106,7 @@
 
 // HandshakeFailed implements link.Observer.
 func (s *Set) HandshakeFailed(err error) {
-	s.handshakes.Inc()
+	s.refusedLinks.Inc()
 	events.LinkRefused.Log(s.log).Err(err).Send()
 }
 
@@ -113,7 +115,7 @@
 	s.refusals.WithLabelValues(string(reason)).Inc()
 }
 
-// Entry is the view that an entry reports to.
+// Entry implements entry.Observer on a Set.
 type Entry struct{ *Set }
 
 // Ended implements entry.Observer.
@@ -151,18 +153,19 @@
 		Str("zone", string(t.Zone)).Bool("leaving", t.Leaving).Send()
 }
 
-// Retries is the view that the retry policy reports to.
+// Retries implements retry.Meter, to which the retry policy reports, on a Set.
 type Retries struct{ *Set }
 
 var _ retry.Meter = Retries{}
 
-// Retried implements retry.Meter. The entry counts the retry when it makes it.
+// Retried implements retry.Meter. It does nothing: Entry.Retried counts the retry when
+// the entry makes it.
 func (Retries) Retried(api.Reason) {}
 
 // Denied implements retry.Meter.
-func (s Retries) Denied(w retry.Denial) { s.denied.WithLabelValues(string(w)).Inc() }
+func (s Retries) Denied(w retry.Denial) { s.deniedRetries.WithLabelValues(string(w)).Inc() }
 
-// Agent is the view that an agent reports to.
+// Agent implements agent.Observer on a Set.
 type Agent struct{ *Set }
 
 // Accepted implements agent.Observer.
