--- a/node/events/doc.go
+++ b/node/events/doc.go
@@ -5,7 +5,7 @@
 	"strings"
 )
 
-// Markdown gives the catalogue as the page docs/EVENTS.md.
+// Markdown returns the catalogue as the text of the page docs/EVENTS.md.
 func Markdown() string {
 	var b strings.Builder
 	b.WriteString("# Events\n\nEvery log line carries one of these numbers in its `event` field. This page is written by\n`go run ./node/events/page > docs/EVENTS.md`; a test compares it with the code.\n\n")
--- a/node/events/events.go
+++ b/node/events/events.go
@@ -1,30 +1,32 @@
-// Package events is the catalogue of what the processes log. Every log line
-// carries a number from here; docs/EVENTS.md gives each number's meaning and
-// the first step of whoever is on call.
+// Package events is the catalogue of the events that the processes log. Every log
+// line carries the number of its event; docs/EVENTS.md lists the meaning of each
+// number and the first step for the engineer on call.
 package events
 
 import (
 	"github.com/rs/zerolog"
 )
 
-// Event is one kind of log line.
+// Event describes one kind of log line.
 type Event struct {
-	// ID never changes its meaning and is never used again.
+	// ID is the number of the event. Its meaning never changes, and the ID of a
+	// removed event is not reused.
 	ID    int
 	Level zerolog.Level
-	// Text is the message; Step is what to do first.
+	// Text is the message of the log line; Step is what the engineer on call does
+	// first.
 	Text string
 	Step string
 }
 
-// Log starts a line of the event on l. The caller adds fields and calls Send.
+// Log starts a line for the event in the log l. The caller adds fields and calls Send.
 func (e Event) Log(l *zerolog.Logger) *zerolog.Event {
 	return l.WithLevel(e.Level).Int("event", e.ID).Str("what", e.Text)
 }
 
-// The catalogue. Numbers from 100 are of processes, from 200 of links, from 300
-// of requests, from 400 of targets, from 500 of control, from 600 of
-// configuration.
+// The events. Numbers from 100 are for processes, from 200 for links, from 300 for
+// requests, from 400 for targets, from 500 for the control group and from 600 for
+// configuration and evacuation.
 var (
 	ProcessStarted       = Event{100, zerolog.InfoLevel, "process started", "None."}
 	ProcessDraining      = Event{101, zerolog.InfoLevel, "process draining: no new work, requests in progress go on", "None; a second signal stops it hard."}
@@ -33,7 +35,7 @@
 	ProcessFailed        = Event{104, zerolog.ErrorLevel, "process failed", "Read the error field; settings are the usual cause."}
 	ProcessReloaded      = Event{105, zerolog.InfoLevel, "settings file changed", "None; a process takes new settings at its next start."}
 	LinkUp               = Event{200, zerolog.InfoLevel, "link up", "None."}
-	LinkDown             = Event{201, zerolog.WarnLevel, "link down", "Read the why field: silence means a stalled network, backlog a peer that does not read, malformed a version or a fault."}
+	LinkDown             = Event{201, zerolog.WarnLevel, "link down", "Read the why field: silence means a stalled network, backlog a peer that does not read, malformed a peer of an incompatible version or a software fault."}
 	LinkDialFailed       = Event{202, zerolog.WarnLevel, "link could not be opened", "Check the address and that the peer is up; it is tried again with growing waits."}
 	LinkRefused          = Event{203, zerolog.WarnLevel, "link refused in the handshake", "Check that both ends were given the same fleet key."}
 	RequestEnded         = Event{300, zerolog.InfoLevel, "request ended", "None."}
@@ -41,38 +43,38 @@
 	RequestRefused       = Event{303, zerolog.InfoLevel, "request refused, it has not run", "Look the reason up in OPERATIONS.md."}
 	RequestSent          = Event{304, zerolog.InfoLevel, "request sent to a target", "None."}
 	RequestAttempted     = Event{305, zerolog.InfoLevel, "a target did not answer the request", "Look at the target's own lines by its name."}
-	RequestMoved         = Event{306, zerolog.InfoLevel, "stream is continued at another engine", "None, unless the pause is long: see how full the engines' links are."}
+	RequestMoved         = Event{306, zerolog.InfoLevel, "stream is continued at another engine", "None, unless the pause is long: check how loaded the network between the engines is."}
 	RequestRetried       = Event{302, zerolog.InfoLevel, "request tried again elsewhere", "None, unless almondseam_retries_total grows: look the reason up."}
-	RequestCopied        = Event{308, zerolog.InfoLevel, "a run was copied to another engine", "None, unless it takes long: see how full the engines' links are."}
+	RequestCopied        = Event{308, zerolog.InfoLevel, "a run was copied to another engine", "None, unless it takes long: check how loaded the network between the engines is."}
 	CallerFault          = Event{307, zerolog.DebugLevel, "the HTTP server ended a caller's connection", "None."}
 	RequestHeld          = Event{309, zerolog.InfoLevel, "request waited for an engine with room", "None, unless it recurs: the engines are full, add some or lower the customers' limits."}
 	RequestNoRoom        = Event{310, zerolog.InfoLevel, "an engine did not set room aside for a request", "None, unless it recurs with an error: see whether the engine runs."}
-	RetryDenied          = Event{311, zerolog.InfoLevel, "the retry budget did not allow one more send", "None, unless it recurs. reason=control_unavailable: see whether the control group has a leader. Else so much fails that retries are cut back: look for the cause in the 305 lines. Do not raise the budget."}
+	RetryDenied          = Event{311, zerolog.InfoLevel, "the retry budget did not allow one more send", "None, unless it recurs. reason=control_unavailable: see whether the control group has a leader. Otherwise so many requests fail that the budget limits their retries: look for the cause in the lines of event 305. Do not raise the budget."}
 	RequestNotMoved      = Event{312, zerolog.InfoLevel, "migration skipped", "None, unless it recurs: no_room says that the engines are full, add some or lower the customers' limits."}
 	RetryGranted         = Event{313, zerolog.InfoLevel, "the retry budget allowed one more send", "None."}
-	ColdStart            = Event{314, zerolog.InfoLevel, "a request would go to a target that is cold", "None: granted says whether it went there."}
-	CopyDropped          = Event{315, zerolog.InfoLevel, "the copy of a run that nobody takes up was freed", "None; with an error the engines keep its memory for some seconds."}
-	LimitedSend          = Event{316, zerolog.InfoLevel, "a request would go to a target that names a limit", "None: granted says whether it went there."}
+	ColdStart            = Event{314, zerolog.InfoLevel, "decision whether a request may be sent to a cold target", "None: the granted field holds the decision."}
+	CopyDropped          = Event{315, zerolog.InfoLevel, "unused copy of a run freed", "None; with an error the engines keep its memory for some seconds."}
+	LimitedSend          = Event{316, zerolog.InfoLevel, "decision whether a request may be sent to a target that states a limit", "None: the granted field holds the decision."}
 	TargetAnnounced      = Event{400, zerolog.InfoLevel, "target announced", "None."}
 	TargetLeaving        = Event{401, zerolog.InfoLevel, "target is leaving", "None."}
-	TargetGone           = Event{402, zerolog.WarnLevel, "target's link is gone", "See whether its agent runs; its requests wait for it for a while."}
+	TargetGone           = Event{402, zerolog.WarnLevel, "target's link is gone", "See whether the target's agent runs; requests on the target wait some time for the link to come back."}
 	TargetLoadFailed     = Event{403, zerolog.DebugLevel, "target did not report its load", "See whether the engine runs."}
 	TargetChanged        = Event{404, zerolog.InfoLevel, "target state changed", "None."}
 	TargetDialFailed     = Event{406, zerolog.InfoLevel, "a connection to a target could not be opened", "None, unless one address recurs: see whether its machine is up, and whether it is out of connections."}
-	TargetUnusable       = Event{405, zerolog.WarnLevel, "an announcement could not be used", "Find out who writes announcements of another form; the other targets hold."}
-	TargetLimited        = Event{407, zerolog.InfoLevel, "a target's limit of requests changed", "None: the target is in need. See why with its own lines, and whether its service has targets enough."}
-	TargetLimitNotStated = Event{409, zerolog.WarnLevel, "the control group could not be told of a target's limit", "See whether the group has a leader; the next answer of the target begins anew."}
-	TargetLimitError     = Event{408, zerolog.WarnLevel, "a target names a limit that can't be read", "Correct what the target writes; the limit that it named before stays in force."}
+	TargetUnusable       = Event{405, zerolog.WarnLevel, "an announcement could not be used", "Find out which process sends announcements in another format; the other targets are not affected."}
+	TargetLimited        = Event{407, zerolog.InfoLevel, "request rate limit of a target changed", "None: a target states a limit to protect itself. See its own log for the reason, and whether its service has enough targets."}
+	TargetLimitNotStated = Event{409, zerolog.WarnLevel, "the control group could not be told of a target's limit", "See whether the group has a leader; the next answer of the target starts another attempt."}
+	TargetLimitError     = Event{408, zerolog.WarnLevel, "a target states a limit that cannot be parsed", "Correct what the target sends; the limit that it stated before stays in force."}
 	ControlStarted       = Event{500, zerolog.InfoLevel, "control member started", "None."}
 	ControlLeader        = Event{501, zerolog.InfoLevel, "control group has a leader", "None, unless it recurs: then look for a slow disk (almondseam_control_save_seconds) or a stalled network between members."}
 	ControlNoLeader      = Event{502, zerolog.WarnLevel, "control member knows no leader", "If it lasts, see with almondctl status which members are up; writes are refused until a majority is."}
 	ControlSnapshot      = Event{503, zerolog.InfoLevel, "control snapshot", "None."}
-	ControlStranger      = Event{504, zerolog.WarnLevel, "control refused a stranger", "Find who calls the operator interface with a wrong token, or which process asks for what only operators may."}
-	ControlFailed        = Event{505, zerolog.ErrorLevel, "control member stopped", "Read the error field. After a failed save the disk is to be checked before the member is started again; a lost data folder is replaced by a new member (almondctl members add, promote, remove)."}
-	ControlMended        = Event{506, zerolog.InfoLevel, "control group changes its members by itself", "None, unless refused recurs: then see with the members' logs which of them are up."}
+	ControlStranger      = Event{504, zerolog.WarnLevel, "control member refused an unauthenticated or forbidden request", "Find who calls the operator interface with a wrong token, or which process asks for what only operators may."}
+	ControlFailed        = Event{505, zerolog.ErrorLevel, "control member stopped", "Read the error field. After a failed save, check the disk before starting the member again. If the data directory is lost, replace the member by a new one (almondctl members add, promote, remove)."}
+	ControlMended        = Event{506, zerolog.InfoLevel, "automatic change of the control group's members proposed", "None, unless refused recurs: then see with the members' logs which of them are up."}
 	ConfigInForce        = Event{600, zerolog.InfoLevel, "configuration in force", "None."}
 	ConfigUnusable       = Event{601, zerolog.ErrorLevel, "configuration could not be used; the last one stays in force", "Read the error field: this process is older than the configuration, or its control group is another fleet's. Its site shows as lagging in almondctl status."}
-	ConfigConflict       = Event{602, zerolog.ErrorLevel, "another content came under the revision held", "Two control groups answer for one fleet: compare the members with almondctl members list, and restart this process once that is mended."}
+	ConfigConflict       = Event{602, zerolog.ErrorLevel, "received different content for the revision already held", "Two control groups answer for one fleet: compare the members with almondctl members list, and restart this process once that is mended."}
 	ConfigSwitched       = Event{603, zerolog.InfoLevel, "agent follows another entry's configuration", "None, unless it recurs with why=silence: the network between them stalls."}
 	ConfigPut            = Event{605, zerolog.InfoLevel, "configuration proposed", "None, unless the outcome is not completed for long: see whether the control group has a leader."}
 	ConfigInvalid        = Event{606, zerolog.WarnLevel, "invalid configuration refused", "Show the error to the operator who sent it."}
@@ -81,7 +83,7 @@
 	ConfigNoSite         = Event{604, zerolog.WarnLevel, "the configuration has no site with this process's availability zone; the base alone is in force", "Compare the zone in the process's settings with the sites in base.yaml."}
 )
 
-// All lists the catalogue in the order of its numbers.
+// All returns all events in the order of their numbers.
 func All() []Event {
 	return []Event{
 		ProcessStarted, ProcessDraining, ProcessDrained, ProcessHardStop, ProcessFailed, ProcessReloaded,
--- a/node/events/events_test.go
+++ b/node/events/events_test.go
@@ -17,8 +17,8 @@
 	c.Assert(string(page), qt.Equals, Markdown(), qt.Commentf("run: go run ./node/events/page > docs/EVENTS.md"))
 }
 
-// An event that is declared and not listed would be logged with a number that
-// nobody on call can look up.
+// An event that is declared but missing from All would be logged with a number that
+// the engineer on call cannot look up.
 func TestEveryDeclaredEventIsListedOnce(t *testing.T) {
 	c := qt.New(t)
 	f, err := parser.ParseFile(token.NewFileSet(), "events.go", nil, 0)
--- a/node/events/pages_test.go
+++ b/node/events/pages_test.go
@@ -11,8 +11,9 @@
 	qt "github.com/frankban/quicktest"
 )
 
-// rows gives the first two cells of each row whose first cell is a code word.
-func rows(page string) map[string]string {
+// codeRows returns, for each table row of a page whose first cell is a name in code
+// format, the second cell by that name.
+func codeRows(page string) map[string]string {
 	out := make(map[string]string)
 	for _, m := range regexp.MustCompile("(?m)^\\| `([a-z_]+)` \\| ([^|]+) \\|").FindAllStringSubmatch(page, -1) {
 		out[m[1]] = m[2]
@@ -20,59 +21,59 @@
 	return out
 }
 
-// A caller that is given a reason which the page lacks, or another status than
-// the page says, does the wrong thing next.
+// A caller that receives a reason which is missing from the page, or which has another
+// status or retry rule than the page says, would react in the wrong way.
 func TestCallersPageHasEveryReason(t *testing.T) {
 	c := qt.New(t)
 	b, err := os.ReadFile("testdata/docs/CALLERS.md")
 	c.Assert(err, qt.IsNil)
 	_, table, ok := strings.Cut(string(b), "\n## Every reason\n")
 	c.Assert(ok, qt.IsTrue)
-	told := rows(table)
-	c.Assert(told, qt.HasLen, len(api.Reasons))
+	statuses := codeRows(table)
+	c.Assert(statuses, qt.HasLen, len(api.Reasons))
 	for r, info := range api.Reasons {
-		c.Assert(told[string(r)], qt.Equals, strconv.Itoa(info.Status), qt.Commentf("%s", r))
-		again := map[bool]string{true: "yes", false: "no"}[info.Retry]
-		c.Assert(strings.Contains(table, "| `"+string(r)+"` | "+strconv.Itoa(info.Status)+" | "+again+" |"), qt.IsTrue, qt.Commentf("%s: again", r))
+		c.Assert(statuses[string(r)], qt.Equals, strconv.Itoa(info.Status), qt.Commentf("%s", r))
+		retryCell := map[bool]string{true: "yes", false: "no"}[info.Retry]
+		c.Assert(strings.Contains(table, "| `"+string(r)+"` | "+strconv.Itoa(info.Status)+" | "+retryCell+" |"), qt.IsTrue, qt.Commentf("%s: retry column", r))
 	}
 }
 
-// headings gives what stands under each third-level heading of a section.
-func headings(c *qt.C, page, section string) map[string]string {
+// sectionEntries returns the text under each third-level heading of a section, by
+// heading.
+func sectionEntries(c *qt.C, page, section string) map[string]string {
 	_, rest, ok := strings.Cut(page, "\n## "+section+"\n")
 	c.Assert(ok, qt.IsTrue, qt.Commentf("section %s", section))
 	rest, _, _ = strings.Cut(rest, "\n## ")
 	out := make(map[string]string)
 	for _, part := range strings.Split(rest, "\n### ")[1:] {
 		name, body, _ := strings.Cut(part, "\n")
-		_, twice := out[name]
-		c.Assert(twice, qt.IsFalse, qt.Commentf("%s twice", name))
+		_, duplicate := out[name]
+		c.Assert(duplicate, qt.IsFalse, qt.Commentf("%s twice", name))
 		out[name] = strings.TrimSpace(body)
 	}
 	return out
 }
 
-// Whoever is on call looks a reason or an event number up in OPERATIONS.md by
-// its heading: one that is not there leaves them alone with it, and one that
-// the code no longer has sends them astray.
+// The engineer on call looks up a reason or an event number in OPERATIONS.md by its
+// heading. The page must have all of them, and none that the code no longer has.
 func TestOperationsPageHasEveryReasonAndEvent(t *testing.T) {
 	c := qt.New(t)
 	b, err := os.ReadFile("testdata/docs/OPERATIONS.md")
 	c.Assert(err, qt.IsNil)
-	reasons := headings(c, string(b), "Refusal reasons")
+	reasons := sectionEntries(c, string(b), "Refusal reasons")
 	c.Assert(reasons, qt.HasLen, len(api.Reasons))
 	for r := range api.Reasons {
 		c.Assert(reasons[string(r)], qt.Not(qt.Equals), "", qt.Commentf("%s", r))
 	}
-	numbers := headings(c, string(b), "Events")
+	numbers := sectionEntries(c, string(b), "Events")
 	c.Assert(numbers, qt.HasLen, len(All()))
 	for _, e := range All() {
 		c.Assert(numbers["Event "+strconv.Itoa(e.ID)], qt.Not(qt.Equals), "", qt.Commentf("%d", e.ID))
 	}
 }
 
-// The pages lead from one to the other: a link to a page or a heading that is
-// not there ends the search.
+// The pages refer to each other. Each link must lead to a page and a heading that
+// exist.
 func TestLinksOfThePagesLeadSomewhere(t *testing.T) {
 	c := qt.New(t)
 	for _, page := range []string{"ARCHITECTURE", "CALLERS", "GLOSSARY", "OPERATIONS", "README"} {
@@ -91,8 +92,8 @@
 	}
 }
 
-// anchors gives the anchors of a page's headings as the usual renderers make
-// them.
+// anchors returns the anchors that common Markdown renderers generate for the headings
+// of a page.
 func anchors(page string) map[string]bool {
 	out := make(map[string]bool)
 	for _, m := range regexp.MustCompile(`(?m)^#+ (.*)$`).FindAllStringSubmatch(page, -1) {
