--- a/node/durable/errors.go
+++ b/node/durable/errors.go
@@ -8,22 +8,26 @@
 )
 
 var (
-	// ErrLocked: another process uses the folder.
-	ErrLocked = errors.New("data folder is in use by another process")
-	// ErrDamaged: bytes that were once durable can't be read as written. The
-	// member must not start: it may have forgotten a vote or an entry that it
-	// acknowledged. Replace it by a member with a new, empty folder.
+	// ErrLocked reports that another process holds the lock of the data directory.
+	ErrLocked = errors.New("data directory is in use by another process")
+	// ErrDamaged reports that data which had been durable is missing or cannot be
+	// read back as it was written. The member must not start, since it may have
+	// lost a vote or an entry that it acknowledged. Replace it by a new member with
+	// an empty data directory.
 	ErrDamaged = errors.New("damaged")
-	// ErrVersion: the folder was written by a newer format.
+	// ErrVersion reports a file whose format version this program does not know,
+	// usually because a newer program wrote it.
 	ErrVersion = errors.New("unknown format version")
-	// ErrStopped: an earlier write or sync failed, and the store takes no more.
+	// ErrStopped reports that the store accepts no more writes, because an earlier
+	// operation failed or the store was closed.
 	ErrStopped = errors.New("stopped by an earlier failure")
-	// ErrTooLarge: an entry or a snapshot is beyond what the format holds.
+	// ErrTooLarge reports an entry or a snapshot above the size limit of the format.
 	ErrTooLarge = errors.New("too large to store")
 )
 
-// Error is a failure of the data folder: at which step, in which file, and from
-// which byte on. Offset is -1 where it means nothing.
+// Error describes a failure to read or write the data directory: the step, the
+// file and the offset in the file. Offset is -1 if the failure has no position in
+// the file.
 type Error struct {
 	Step   api.Step
 	File   string
@@ -31,7 +35,7 @@
 	Err    error
 }
 
-// Error gives "step file, offset n: cause".
+// Error returns "step file, offset n: cause", without the offset if it is negative.
 func (e *Error) Error() string {
 	if e.Offset < 0 {
 		return fmt.Sprintf("%s %s: %v", e.Step, e.File, e.Err)
@@ -39,7 +43,7 @@
 	return fmt.Sprintf("%s %s, offset %d: %v", e.Step, e.File, e.Offset, e.Err)
 }
 
-// Unwrap gives the cause.
+// Unwrap returns the cause.
 func (e *Error) Unwrap() error { return e.Err }
 
 func persistError(file string, err error) error {
@@ -50,6 +54,6 @@
 	return &Error{Step: api.StepRecover, File: file, Offset: offset, Err: err}
 }
 
-func damaged(file string, offset int64, why string) error {
-	return recoverError(file, offset, fmt.Errorf("%w: %s", ErrDamaged, why))
+func damagedError(file string, offset int64, reason string) error {
+	return recoverError(file, offset, fmt.Errorf("%w: %s", ErrDamaged, reason))
 }
--- a/node/durable/frame.go
+++ b/node/durable/frame.go
@@ -5,54 +5,57 @@
 	"hash/crc32"
 )
 
-// A frame is what one Write puts into a file:
+// A frame is the unit of writing: each File.Write writes one frame. It consists
+// of, in little-endian order,
 //
 //	magic u32 | length of the payload u32 | checksum u32 | synced u64 | payload
 //
-// in little-endian order. The checksum (CRC-32C) covers everything else, and in
-// addition the file's number and the frame's offset, so that bytes of another
-// file or place never pass for a frame. Synced is the length of the file that
-// was durable when the frame was written; see tail.
+// The checksum (CRC-32C) covers all the other fields, and also the file's number
+// and the frame's offset, so that bytes from another file or offset are never
+// accepted as a frame. The file's number is the sequence number of a segment, the
+// index of a snapshot, or 0 for the identity file. The synced field is the length
+// of the file that was durable when the frame was written; see wasDurable.
 const (
 	frameMagic      = 0x4d4c4146
-	frameHeader     = 20
+	frameHeaderSize = 20
 	maxFramePayload = 80 << 20
 )
 
 var castagnoli = crc32.MakeTable(crc32.Castagnoli)
 
-func frameSum(b []byte, file, offset uint64) uint32 {
-	var place [16]byte
-	binary.LittleEndian.PutUint64(place[:], file)
-	binary.LittleEndian.PutUint64(place[8:], offset)
-	sum := crc32.Update(0, castagnoli, place[:])
+func frameChecksum(b []byte, file, offset uint64) uint32 {
+	var location [16]byte
+	binary.LittleEndian.PutUint64(location[:], file)
+	binary.LittleEndian.PutUint64(location[8:], offset)
+	sum := crc32.Update(0, castagnoli, location[:])
 	sum = crc32.Update(sum, castagnoli, b[:8])
 	return crc32.Update(sum, castagnoli, b[12:])
 }
 
-// appendFrame puts a frame at the end of buf; offset is where it will lie.
+// appendFrame appends a frame to buf. The offset is the frame's position in the
+// file, which may differ from its position in buf.
 func appendFrame(buf []byte, file, offset, synced uint64, payload []byte) []byte {
-	at := len(buf)
+	start := len(buf)
 	buf = binary.LittleEndian.AppendUint32(buf, frameMagic)
 	buf = binary.LittleEndian.AppendUint32(buf, uint32(len(payload)))
 	buf = binary.LittleEndian.AppendUint32(buf, 0)
 	buf = binary.LittleEndian.AppendUint64(buf, synced)
 	buf = append(buf, payload...)
-	binary.LittleEndian.PutUint32(buf[at+8:], frameSum(buf[at:], file, offset))
+	binary.LittleEndian.PutUint32(buf[start+8:], frameChecksum(buf[start:], file, offset))
 	return buf
 }
 
-// frame is one that was read back.
+// frame is a frame read back from a file.
 type frame struct {
 	synced  uint64
 	payload []byte
-	size    uint64 // with its header
+	size    uint64 // including the header
 }
 
-// readFrame reads the frame at offset of the file's bytes; false if there is no
-// whole and true one.
+// readFrame returns the frame at offset in b, the content of the given file. It
+// returns false if there is no complete frame with a valid checksum.
 func readFrame(b []byte, file, offset uint64) (frame, bool) {
-	if offset > uint64(len(b)) || uint64(len(b))-offset < frameHeader {
+	if offset > uint64(len(b)) || uint64(len(b))-offset < frameHeaderSize {
 		return frame{}, false
 	}
 	b = b[offset:]
@@ -60,25 +63,26 @@
 		return frame{}, false
 	}
 	length := uint64(binary.LittleEndian.Uint32(b[4:]))
-	if length > maxFramePayload || length > uint64(len(b))-frameHeader {
+	if length > maxFramePayload || length > uint64(len(b))-frameHeaderSize {
 		return frame{}, false
 	}
-	b = b[:frameHeader+length]
-	if binary.LittleEndian.Uint32(b[8:]) != frameSum(b, file, offset) {
+	b = b[:frameHeaderSize+length]
+	if binary.LittleEndian.Uint32(b[8:]) != frameChecksum(b, file, offset) {
 		return frame{}, false
 	}
-	return frame{synced: binary.LittleEndian.Uint64(b[12:]), payload: b[frameHeader:], size: uint64(len(b))}, true
+	return frame{synced: binary.LittleEndian.Uint64(b[12:]), payload: b[frameHeaderSize:], size: uint64(len(b))}, true
 }
 
-// onceDurable tells whether the bytes at offset, which are no frame, had been
-// durable before: a later frame says that it was written when they were. Without
-// such a frame they are what a crash left of writes that were never confirmed,
-// in whatever order the disk took them, and may be cut.
+// wasDurable reports whether the bytes at offset, which do not form a valid frame,
+// had been durable before. That is so if a later frame has a synced field beyond
+// offset. If no later frame has, the bytes are the remains of unconfirmed writes,
+// which a disk may store in any order before a crash, and they can be cut off.
 //
-// What remains: damage to the very last confirmed frame looks like a crash and
-// is cut. Nothing written after it can tell.
-func onceDurable(b []byte, file, offset uint64) bool {
-	for at := offset + 1; at+frameHeader <= uint64(len(b)); at++ {
+// One kind of damage goes undetected: if frames of the last sync are damaged and
+// no frame was written after that sync, they look like the remains of a crash and
+// are cut off.
+func wasDurable(b []byte, file, offset uint64) bool {
+	for at := offset + 1; at+frameHeaderSize <= uint64(len(b)); at++ {
 		if f, ok := readFrame(b, file, at); ok && f.synced > offset {
 			return true
 		}
--- a/node/durable/fs.go
+++ b/node/durable/fs.go
@@ -1,50 +1,55 @@
-// Package durable keeps one control member's state in one data folder: its
-// identity, the agreement's log in checksummed segments, and snapshots. What it
-// has confirmed survives a crash; what it can't read without doubt it refuses.
+// Package durable stores the state of one control member in a data directory: its
+// identity, the consensus log in checksummed segments, and snapshots. State that
+// was reported as saved survives a crash. If stored data cannot be verified, Open
+// returns an error.
 //
-// The folder holds
+// The directory holds
 //
-//	lock                    flock of the one process that uses the folder
+//	lock                    flock of the one process that uses the directory
 //	identity                the member's random ID
 //	log-<seq>.seg           segments, oldest first, without gaps in seq
 //	snapshot-<index>.snap   the newest snapshot
 //
-// with seq and index in 16 hexadecimal digits. A folder that was lost or
-// replaced gets a new identity: a voter that forgot its vote must not vote again
-// under its old name.
+// with seq and index in 16 hexadecimal digits. A directory that was lost or
+// replaced gets a new identity, because a voter that has lost its vote must not
+// vote a second time under its old ID.
 package durable
 
 import "io"
 
-// FS is what the store needs of a file system. Names are full paths. It is used
-// from one goroutine.
+// FS is the set of file system operations that the store uses. Names are full
+// paths. All calls come from one goroutine.
 //
-// What File.Write has written survives a crash only after File.Sync; what
-// Create, Rename and Remove did to a folder only after SyncDir of it.
+// Data written by File.Write survives a crash only after File.Sync. The changes
+// that Create, Rename and Remove make to a directory survive a crash only after
+// SyncDir of that directory.
 type FS interface {
-	// MkdirAll makes the folder and its parents, durably.
+	// MkdirAll creates dir and any missing parents, and makes the entry of dir in
+	// its parent durable.
 	MkdirAll(dir string) error
-	// Lock takes the lock file for this process, without waiting, until Close.
+	// Lock locks the file for this process until the returned Closer is closed. It
+	// creates the file if needed, and returns ErrLocked instead of waiting.
 	Lock(name string) (io.Closer, error)
-	// Create makes an empty file, or empties the one that is there.
+	// Create creates an empty file, or truncates an existing one.
 	Create(name string) (File, error)
-	// Append opens a file to write on at its end.
+	// Append opens an existing file for writing at its end.
 	Append(name string) (File, error)
-	// ReadFile gives the whole file; fs.ErrNotExist if there is none.
+	// ReadFile returns the content of the file, or fs.ErrNotExist if there is none.
 	ReadFile(name string) ([]byte, error)
-	// ReadDir gives the names in the folder, without its path.
+	// ReadDir returns the names of the files in dir, without the path.
 	ReadDir(dir string) ([]string, error)
-	// Truncate cuts the file to size and makes that durable.
+	// Truncate cuts the file to size and syncs it.
 	Truncate(name string, size int64) error
-	// Rename replaces to by from in one step.
+	// Rename atomically renames a file, replacing the file at the new name if there
+	// is one.
 	Rename(from, to string) error
 	// Remove deletes the file.
 	Remove(name string) error
-	// SyncDir makes the folder's entries durable.
+	// SyncDir makes the entries of the directory durable.
 	SyncDir(dir string) error
 }
 
-// File is a file that is written from its start to its end.
+// File is a file open for sequential writing.
 type File interface {
 	io.Writer
 	Sync() error
--- a/node/durable/osfs.go
+++ b/node/durable/osfs.go
@@ -14,11 +14,12 @@
 	fileMode = 0o640
 )
 
-// OS is the FS of the operating system.
+// OS implements FS with the operating system's files.
 type OS struct{}
 
-// MkdirAll makes dir and syncs the folder that holds it, so that the new entry
-// survives. Parents above that are expected to exist or to be of no concern.
+// MkdirAll creates dir and any missing parents, and syncs the parent of dir so that
+// the entry of dir survives a crash. It does not sync the entries of the parents
+// themselves: they are expected to exist already, or not to have to survive.
 func (o OS) MkdirAll(dir string) error {
 	if err := os.MkdirAll(dir, dirMode); err != nil {
 		return err
@@ -26,7 +27,7 @@
 	return o.SyncDir(filepath.Dir(dir))
 }
 
-// Lock takes an exclusive flock, which the kernel drops with the process.
+// Lock takes an exclusive flock, which the kernel releases when the process ends.
 func (OS) Lock(name string) (io.Closer, error) {
 	f, err := os.OpenFile(name, os.O_CREATE|os.O_RDWR, fileMode)
 	if err != nil {
@@ -39,20 +40,20 @@
 	return f, nil
 }
 
-// Create makes an empty file.
+// Create creates an empty file, or truncates an existing one.
 func (OS) Create(name string) (File, error) {
 	return os.OpenFile(name, os.O_CREATE|os.O_TRUNC|os.O_WRONLY, fileMode)
 }
 
-// Append opens a file to write on at its end.
+// Append opens an existing file for writing at its end.
 func (OS) Append(name string) (File, error) {
 	return os.OpenFile(name, os.O_APPEND|os.O_WRONLY, fileMode)
 }
 
-// ReadFile gives the whole file.
+// ReadFile returns the content of the file.
 func (OS) ReadFile(name string) ([]byte, error) { return os.ReadFile(name) }
 
-// ReadDir gives the names in dir.
+// ReadDir returns the names of the files in dir.
 func (OS) ReadDir(dir string) ([]string, error) {
 	list, err := os.ReadDir(dir)
 	if err != nil {
@@ -65,7 +66,7 @@
 	return names, nil
 }
 
-// Truncate cuts the file and syncs it.
+// Truncate cuts the file to size and syncs it.
 func (OS) Truncate(name string, size int64) error {
 	f, err := os.OpenFile(name, os.O_WRONLY, fileMode)
 	if err != nil {
@@ -78,13 +79,13 @@
 	return f.Sync()
 }
 
-// Rename replaces to by from.
+// Rename renames a file, replacing the file at the new name if there is one.
 func (OS) Rename(from, to string) error { return os.Rename(from, to) }
 
 // Remove deletes the file.
 func (OS) Remove(name string) error { return os.Remove(name) }
 
-// SyncDir syncs the folder itself.
+// SyncDir syncs the directory itself, which makes its entries durable.
 func (OS) SyncDir(dir string) error {
 	f, err := os.Open(dir)
 	if err != nil {
--- a/node/durable/recover.go
+++ b/node/durable/recover.go
@@ -12,17 +12,17 @@
 	"almondseam.dev/core/consensus"
 )
 
-// The names in the folder.
+// File names in the data directory.
 const (
-	lockFile       = "lock"
-	identityName   = "identity"
-	tempSuffix     = ".tmp"
-	segmentPrefix  = "log-"
-	segmentSuffix  = ".seg"
-	snapshotPrefix = "snapshot-"
-	snapshotSuffix = ".snap"
-	numberBase     = 16
-	numberDigits   = 16
+	lockFileName     = "lock"
+	identityFileName = "identity"
+	tempSuffix       = ".tmp"
+	segmentPrefix    = "log-"
+	segmentSuffix    = ".seg"
+	snapshotPrefix   = "snapshot-"
+	snapshotSuffix   = ".snap"
+	numberBase       = 16
+	numberDigits     = 16
 )
 
 func segmentName(seq uint64) string {
@@ -46,16 +46,16 @@
 	return n, err == nil
 }
 
-// contents is what the folder holds, by kind.
-type contents struct {
-	segments  []uint64 // ascending
-	snapshots []uint64 // ascending
-	temps     []string
-	identity  bool
+// dirContents lists the files of the data directory by kind.
+type dirContents struct {
+	segments    []uint64 // ascending
+	snapshots   []uint64 // ascending
+	tempFiles   []string
+	hasIdentity bool
 }
 
-func (s *Store) list() (contents, error) {
-	var c contents
+func (s *Store) listFiles() (dirContents, error) {
+	var c dirContents
 	names, err := s.fs.ReadDir(s.dir)
 	if err != nil {
 		return c, recoverError(s.dir, -1, err)
@@ -66,20 +66,22 @@
 		} else if index, ok := parseName(name, snapshotPrefix, snapshotSuffix); ok {
 			c.snapshots = append(c.snapshots, index)
 		} else if strings.HasSuffix(name, tempSuffix) {
-			c.temps = append(c.temps, name)
+			c.tempFiles = append(c.tempFiles, name)
 		}
-		c.identity = c.identity || name == identityName
+		c.hasIdentity = c.hasIdentity || name == identityFileName
 	}
 	slices.Sort(c.segments)
 	slices.Sort(c.snapshots)
 	return c, nil
 }
 
-// recover reads the folder, cuts what a crash left unconfirmed, and opens the
-// newest segment to go on with. It changes nothing before the whole folder has proved sound.
+// recover reads the data directory, cuts off a torn tail that a crash left, and
+// opens the newest segment for further writing. It changes nothing until it has
+// verified the identity, the snapshot and the log after the snapshot. Only after
+// cutting off the tail does it check that the identity is not missing.
 func (s *Store) recover() (consensus.Restored, error) {
 	var r consensus.Restored
-	c, err := s.list()
+	c, err := s.listFiles()
 	if err != nil {
 		return r, err
 	}
@@ -89,53 +91,54 @@
 	if r.Snapshot, err = s.readSnapshot(c); err != nil {
 		return r, err
 	}
-	s.snapshot = r.Snapshot.Index
-	next, err := s.readLog(&r, c.segments)
+	s.snapshotIndex = r.Snapshot.Index
+	nextHeader, err := s.readLog(&r, c.segments)
 	if err != nil {
 		return r, err
 	}
 	if s.id == 0 && (r.Snapshot.Index > 0 || len(r.Entries) > 0 || r.HardState != (consensus.HardState{})) {
-		return r, damaged(filepath.Join(s.dir, identityName), -1, "missing beside a log that was used")
+		return r, damagedError(filepath.Join(s.dir, identityFileName), -1, "missing, but the directory holds a log or a snapshot with state")
 	}
-	if s.file == nil || next.Reset {
-		if err := s.rotate(next); err != nil {
+	if s.file == nil || nextHeader.Reset {
+		if err := s.rotate(nextHeader); err != nil {
 			return r, err
 		}
 	}
-	if err := s.makeIdentity(); err != nil {
+	if err := s.createIdentity(); err != nil {
 		return r, err
 	}
-	return r, s.tidy(c)
+	return r, s.removeLeftovers(c)
 }
 
-func (s *Store) readSnapshot(c contents) (consensus.Snapshot, error) {
+func (s *Store) readSnapshot(c dirContents) (consensus.Snapshot, error) {
 	if len(c.snapshots) == 0 {
 		return consensus.Snapshot{}, nil
 	}
 	index := c.snapshots[len(c.snapshots)-1]
 	path := filepath.Join(s.dir, snapshotName(index))
 	var f snapshotFile
-	if err := readWhole(s.fs, path, index, &f); err != nil {
+	if err := readFrameFile(s.fs, path, index, &f); err != nil {
 		return f.Snapshot, err
 	}
 	if err := checkVersion(f.Version); err != nil {
 		return f.Snapshot, recoverError(path, 0, err)
 	}
 	if f.Snapshot.Index != index {
-		return f.Snapshot, damaged(path, 0, fmt.Sprintf("holds the snapshot of %d", f.Snapshot.Index))
+		return f.Snapshot, damagedError(path, 0, fmt.Sprintf("file contains the snapshot of index %d", f.Snapshot.Index))
 	}
 	return f.Snapshot, nil
 }
 
-// segmentData is a segment read whole.
+// segmentData is a segment with its file's content.
 type segmentData struct {
 	segmentInfo
 	path string
 	b    []byte
 }
 
-// readSegments reads the segments and their headers. The newest may lack its
-// header, if a crash came while it was begun: the next one takes its name then.
+// readSegments reads the segment files and their headers. If a crash interrupted
+// the creation of the newest segment, it may have no valid header. It is then left
+// out of the result, and the next segment to be created reuses its name.
 func (s *Store) readSegments(seqs []uint64) ([]segmentData, error) {
 	var out []segmentData
 	for i, seq := range seqs {
@@ -145,7 +148,7 @@
 			return nil, recoverError(path, -1, err)
 		}
 		h, _, err := readHeader(path, b, seq)
-		if errors.Is(err, ErrDamaged) && i == len(seqs)-1 && !onceDurable(b, seq, 0) {
+		if errors.Is(err, ErrDamaged) && i == len(seqs)-1 && !wasDurable(b, seq, 0) {
 			break
 		}
 		if err != nil {
@@ -156,43 +159,44 @@
 	return out, nil
 }
 
-// readLog fills r from the segments and gives the header of the next one.
+// readLog reads the hard state and the entries after the snapshot into r, opens the
+// newest segment, and returns the header for the segment that follows.
 func (s *Store) readLog(r *consensus.Restored, seqs []uint64) (header, error) {
 	list, err := s.readSegments(seqs)
 	if err != nil {
 		return header{}, err
 	}
 	if len(list) == 0 {
-		return s.emptyLog(r)
+		return s.startEmptyLog(r)
 	}
-	for _, g := range list {
-		s.segments = append(s.segments, g.segmentInfo)
+	for _, seg := range list {
+		s.segments = append(s.segments, seg.segmentInfo)
 	}
 	start := startSegment(s.segments, r.Snapshot.Index)
 	if start < 0 {
-		return header{}, damaged(list[0].path, 0, fmt.Sprintf("log begins after entry %d, but the snapshot ends with %d", list[0].prevIndex, r.Snapshot.Index))
+		return header{}, damagedError(list[0].path, 0, fmt.Sprintf("log begins after entry %d, but the snapshot ends at entry %d", list[0].prevIndex, r.Snapshot.Index))
 	}
-	log, size, err := replayAll(list[start:])
+	log, size, err := replaySegments(list[start:])
 	if err != nil {
 		return header{}, err
 	}
 	newest := list[len(list)-1]
-	entries, whole := log.after(r.Snapshot)
-	if last := r.Snapshot.Index + uint64(len(entries)); log.hard.Commit > last {
-		return header{}, damaged(newest.path, int64(size), fmt.Sprintf("log ends with entry %d, but %d were committed", last, log.hard.Commit))
+	entries, continues := log.entriesAfter(r.Snapshot)
+	if last := r.Snapshot.Index + uint64(len(entries)); log.hardState.Commit > last {
+		return header{}, damagedError(newest.path, int64(size), fmt.Sprintf("log ends at entry %d, but the commit index is %d", last, log.hardState.Commit))
 	}
-	if err := s.goOn(newest, size); err != nil {
+	if err := s.reopenSegment(newest, size); err != nil {
 		return header{}, err
 	}
-	r.HardState, r.Entries = log.hard, entries
-	return s.resume(*r, whole), nil
+	r.HardState, r.Entries = log.hardState, entries
+	return s.restoreState(*r, continues), nil
 }
 
-// goOn opens the newest segment to write on after its whole frames. It syncs what
-// it read: where only the process had died, frames may have been read that are
-// not on the disk yet. The member would answer for them, and lose them if the
-// power fails next.
-func (s *Store) goOn(newest segmentData, size uint64) error {
+// reopenSegment opens the newest segment for appending and cuts off everything
+// beyond size. It also syncs the frames that were read: if only the process had
+// crashed, they may be in the page cache but not on disk yet. The member would act
+// on them, and lose them if the power failed next.
+func (s *Store) reopenSegment(newest segmentData, size uint64) error {
 	if size < uint64(len(newest.b)) {
 		if err := s.fs.Truncate(newest.path, int64(size)); err != nil {
 			return recoverError(newest.path, int64(size), err)
@@ -209,37 +213,40 @@
 	return s.syncDir()
 }
 
-// resume sets the store to what was read and gives the header of the next
-// segment.
-func (s *Store) resume(r consensus.Restored, whole bool) header {
-	s.hard = r.HardState
+// restoreState sets the in-memory state to the restored state and returns the
+// header for the next segment. If the log does not continue from the snapshot, that
+// header resets the log.
+func (s *Store) restoreState(r consensus.Restored, continues bool) header {
+	s.hardState = r.HardState
 	s.terms.reset(r.Snapshot.Index, r.Snapshot.Term)
 	s.lastIndex, s.lastTerm = r.Snapshot.Index, r.Snapshot.Term
-	s.noteEntries(r.Entries)
+	s.trackEntries(r.Entries)
 	s.stats = Stats{}
-	return header{PrevIndex: s.lastIndex, PrevTerm: s.lastTerm, Reset: !whole}
+	return header{PrevIndex: s.lastIndex, PrevTerm: s.lastTerm, Reset: !continues}
 }
 
-// emptyLog is right for a folder in its first start only.
-func (s *Store) emptyLog(r *consensus.Restored) (header, error) {
+// startEmptyLog starts with an empty log. A directory without a valid segment is
+// accepted only if it has neither an identity nor a snapshot. Otherwise it was used
+// before, and its log was lost.
+func (s *Store) startEmptyLog(r *consensus.Restored) (header, error) {
 	if s.id != 0 || r.Snapshot.Index > 0 {
-		return header{}, damaged(s.dir, -1, "the log is missing")
+		return header{}, damagedError(s.dir, -1, "the log is missing")
 	}
 	s.terms.reset(0, 0)
 	return header{}, nil
 }
 
-// replayAll reads the segments, and gives the length up to which the newest is
-// whole.
-func replayAll(list []segmentData) (*replay, uint64, error) {
+// replaySegments rebuilds the log from the segments. It returns the length of the
+// valid part of the newest one.
+func replaySegments(list []segmentData) (*replay, uint64, error) {
 	r := &replay{}
 	size := uint64(0)
-	for i, g := range list {
-		if i > 0 && g.seq != list[i-1].seq+1 {
-			return nil, 0, damaged(g.path, 0, fmt.Sprintf("segment %d before it is missing", g.seq-1))
+	for i, seg := range list {
+		if i > 0 && seg.seq != list[i-1].seq+1 {
+			return nil, 0, damagedError(seg.path, 0, fmt.Sprintf("preceding segment %d is missing", seg.seq-1))
 		}
 		var err error
-		size, err = r.segment(g.path, g.b, g.seq, i == len(list)-1)
+		size, err = r.applySegment(seg.path, seg.b, seg.seq, i == len(list)-1)
 		if err != nil {
 			return nil, 0, err
 		}
@@ -247,53 +254,55 @@
 	return r, size, nil
 }
 
-// readIdentity reads the member's ID if the folder has one.
-func (s *Store) readIdentity(c contents) error {
-	if !c.identity {
+// readIdentity reads the member's ID if the directory has an identity file.
+func (s *Store) readIdentity(c dirContents) error {
+	if !c.hasIdentity {
 		return nil
 	}
-	path := filepath.Join(s.dir, identityName)
+	path := filepath.Join(s.dir, identityFileName)
 	var f identityFile
-	if err := readWhole(s.fs, path, 0, &f); err != nil {
+	if err := readFrameFile(s.fs, path, 0, &f); err != nil {
 		return err
 	}
 	if err := checkVersion(f.Version); err != nil {
 		return recoverError(path, 0, err)
 	}
 	if f.ID == 0 {
-		return damaged(path, 0, "member ID is zero")
+		return damagedError(path, 0, "member ID is zero")
 	}
 	s.id = f.ID
 	return nil
 }
 
-// makeIdentity draws an ID at the first start. The log is made before it, so an
-// identity without a log means that the log was lost, not that it is new.
-func (s *Store) makeIdentity() error {
+// createIdentity stores the member's ID at the first start: initialID, or a random
+// ID if that is 0. The log is created before the identity, so an identity without a
+// log means that the log was lost, not that the directory is new.
+func (s *Store) createIdentity() error {
 	if s.id != 0 {
 		return nil
 	}
-	id := s.firstID
+	id := s.initialID
 	if id == 0 {
 		var err error
 		if id, err = randomID(); err != nil {
-			return recoverError(identityName, -1, err)
+			return recoverError(identityFileName, -1, err)
 		}
 	}
-	if err := s.writeWhole(identityName, 0, identityFile{Version: formatVersion, ID: id}); err != nil {
+	if err := s.writeFrameFile(identityFileName, 0, identityFile{Version: formatVersion, ID: id}); err != nil {
 		return err
 	}
 	s.id = id
 	return nil
 }
 
-// tidy deletes what a crash left of files that were replaced or not finished.
-func (s *Store) tidy(c contents) error {
-	for _, name := range c.temps {
+// removeLeftovers deletes temporary files and obsolete files that a crash left
+// behind.
+func (s *Store) removeLeftovers(c dirContents) error {
+	for _, name := range c.tempFiles {
 		err := s.fs.Remove(filepath.Join(s.dir, name))
 		if err != nil && !errors.Is(err, fs.ErrNotExist) {
 			return recoverError(name, -1, err)
 		}
 	}
-	return s.removeOld()
+	return s.removeObsolete()
 }
--- a/node/durable/snapshot.go
+++ b/node/durable/snapshot.go
@@ -7,9 +7,10 @@
 	"almondseam.dev/core/consensus"
 )
 
-// writeWhole puts a file of one frame in place in one step: a crash leaves the
-// old one or the new one, never a part.
-func (s *Store) writeWhole(name string, number uint64, v any) error {
+// writeFrameFile atomically writes a file that consists of one frame. It writes and
+// syncs a temporary file and renames it, so a crash leaves either the old file or
+// the complete new one.
+func (s *Store) writeFrameFile(name string, fileNumber uint64, v any) error {
 	payload, err := consensus.Encode(v)
 	if err != nil {
 		return s.fail(name, err)
@@ -22,7 +23,7 @@
 	if err != nil {
 		return s.fail(temp, err)
 	}
-	framed := appendFrame(nil, number, 0, 0, payload)
+	framed := appendFrame(nil, fileNumber, 0, 0, payload)
 	if _, err := file.Write(framed); err != nil {
 		_ = file.Close()
 		return s.fail(temp, err)
@@ -42,70 +43,74 @@
 	return s.syncDir()
 }
 
-// readWhole reads what writeWhole wrote.
-func readWhole(fs FS, path string, number uint64, v any) error {
+// readFrameFile reads a file that writeFrameFile wrote and decodes its frame into v.
+func readFrameFile(fs FS, path string, fileNumber uint64, v any) error {
 	b, err := fs.ReadFile(path)
 	if err != nil {
 		return recoverError(path, -1, err)
 	}
-	f, ok := readFrame(b, number, 0)
+	f, ok := readFrame(b, fileNumber, 0)
 	if !ok || f.size != uint64(len(b)) {
-		return damaged(path, 0, "checksum of the file")
+		return damagedError(path, 0, "file is not a single valid frame")
 	}
 	if err := consensus.Decode(f.payload, v); err != nil {
-		return damaged(path, 0, err.Error())
+		return damagedError(path, 0, err.Error())
 	}
 	return nil
 }
 
-// SaveSnapshot stores a snapshot durably and lets go of what it replaces. If the
-// log doesn't hold the entry that it ends with, it replaces the whole log.
+// SaveSnapshot stores a snapshot durably and deletes the older snapshots and the
+// segments that it makes obsolete. If the log does not contain the snapshot's last
+// entry, the snapshot replaces the whole log. A snapshot that is not newer than the
+// stored one is ignored.
 func (s *Store) SaveSnapshot(sn consensus.Snapshot) error {
 	if s.failed != nil {
 		return s.failed
 	}
-	if sn.Index <= s.snapshot {
+	if sn.Index <= s.snapshotIndex {
 		return nil
 	}
-	if err := s.writeWhole(snapshotName(sn.Index), sn.Index, snapshotFile{Version: formatVersion, Snapshot: sn}); err != nil {
+	if err := s.writeFrameFile(snapshotName(sn.Index), sn.Index, snapshotFile{Version: formatVersion, Snapshot: sn}); err != nil {
 		return err
 	}
-	s.snapshot = sn.Index
-	if err := s.rotate(s.headerAfter(sn)); err != nil {
+	s.snapshotIndex = sn.Index
+	if err := s.rotate(s.headerAfterSnapshot(sn)); err != nil {
 		return err
 	}
 	s.terms.compact(sn.Index)
-	return s.removeOld()
+	return s.removeObsolete()
 }
 
-// headerAfter begins the segment that follows a snapshot: the log goes on, or
-// starts anew where the snapshot ends.
-func (s *Store) headerAfter(sn consensus.Snapshot) header {
+// headerAfterSnapshot returns the header for the segment that follows a snapshot. If
+// the log contains the snapshot's last entry, the log continues. Otherwise
+// headerAfterSnapshot also resets the in-memory state, and the log begins after the
+// snapshot.
+func (s *Store) headerAfterSnapshot(sn consensus.Snapshot) header {
 	if t, ok := s.terms.at(sn.Index); ok && t == sn.Term {
 		return header{PrevIndex: s.lastIndex, PrevTerm: s.lastTerm}
 	}
 	s.terms.reset(sn.Index, sn.Term)
 	s.lastIndex, s.lastTerm = sn.Index, sn.Term
-	s.hard.Commit = max(s.hard.Commit, sn.Index)
+	s.hardState.Commit = max(s.hardState.Commit, sn.Index)
 	return header{PrevIndex: sn.Index, PrevTerm: sn.Term, Reset: true}
 }
 
-// removeOld deletes the segments whose entries the snapshot stands for, and
-// older snapshots. The new ones are durable by now; a crash in between leaves
-// files that the next Open deletes.
-func (s *Store) removeOld() error {
-	keep := startSegment(s.segments, s.snapshot)
+// removeObsolete deletes the segments whose entries the snapshot covers, and older
+// snapshots. The files that replace them are already durable. If a crash interrupts
+// the deletion, the next Open deletes the rest.
+func (s *Store) removeObsolete() error {
+	firstKept := startSegment(s.segments, s.snapshotIndex)
 	var names []string
-	for _, g := range s.segments[:keep] {
-		names = append(names, segmentName(g.seq))
+	for _, seg := range s.segments[:firstKept] {
+		names = append(names, segmentName(seg.seq))
 	}
-	s.segments = s.segments[keep:]
+	s.segments = s.segments[firstKept:]
 	all, err := s.fs.ReadDir(s.dir)
 	if err != nil {
 		return s.fail(s.dir, err)
 	}
 	for _, name := range all {
-		if index, ok := parseName(name, snapshotPrefix, snapshotSuffix); ok && index < s.snapshot {
+		if index, ok := parseName(name, snapshotPrefix, snapshotSuffix); ok && index < s.snapshotIndex {
 			names = append(names, name)
 		}
 	}
@@ -117,8 +122,8 @@
 	return nil
 }
 
-// startSegment finds the newest segment from which the log can be read on from
-// the snapshot; -1 if none.
+// startSegment returns the position of the newest segment from which the log can be
+// replayed to continue after the snapshot, or -1 if there is none.
 func startSegment(list []segmentInfo, snapshot uint64) int {
 	for i := len(list) - 1; i >= 0; i-- {
 		if list[i].prevIndex <= snapshot {
--- a/node/durable/store_test.go
+++ b/node/durable/store_test.go
@@ -250,8 +250,8 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if err := s.sync(); err != nil || len(s.segments) < 3 || s.snapshot == 0 {
-		t.Fatalf("%d segments, snapshot %d, %v", len(s.segments), s.snapshot, err)
+	if err := s.sync(); err != nil || len(s.segments) < 3 || s.snapshotIndex == 0 {
+		t.Fatalf("%d segments, snapshot %d, %v", len(s.segments), s.snapshotIndex, err)
 	}
 	return m.survive(func() float64 { return 1 }), confirmed
 }
@@ -349,7 +349,7 @@
 func TestIdentityWithoutLog(t *testing.T) {
 	m, _ := sound(t)
 	for name := range m.seen {
-		if filepath.Base(name) != identityName {
+		if filepath.Base(name) != identityFileName {
 			delete(m.seen, name)
 		}
 	}
@@ -436,7 +436,7 @@
 		file = appendFrame(file, 1, uint64(len(file)), 0, a)
 		file = append(appendFrame(file, 1, uint64(len(file)), 0, b), tail...)
 		r := &replay{}
-		size, err := r.segment("log", file, 1, true)
+		size, err := r.applySegment("log", file, 1, true)
 		var e *Error
 		if err != nil && (!errors.As(err, &e) || e.File != "log") {
 			t.Fatalf("%v", err)
@@ -445,8 +445,8 @@
 			t.Fatalf("length %d of %d", size, len(file))
 		}
 		for i, e := range r.entries {
-			if e.Index != r.base+1+uint64(i) {
-				t.Fatalf("entry %d after base %d at place %d", e.Index, r.base, i)
+			if e.Index != r.baseIndex+1+uint64(i) {
+				t.Fatalf("entry %d after base %d at place %d", e.Index, r.baseIndex, i)
 			}
 		}
 	})
@@ -463,7 +463,7 @@
 		}
 		m.seen[filepath.Join(testDir, snapshotName(7))] = &inode{seen: payload}
 		s := &Store{fs: m, dir: testDir}
-		got, err := s.readSnapshot(contents{snapshots: []uint64{7}})
+		got, err := s.readSnapshot(dirContents{snapshots: []uint64{7}})
 		var e *Error
 		if err == nil && got.Index != 7 || err != nil && !errors.As(err, &e) {
 			t.Fatalf("%+v, %v", got, err)
--- a/node/durable/terms.go
+++ b/node/durable/terms.go
@@ -6,20 +6,23 @@
 	"almondseam.dev/core/consensus"
 )
 
-// termIndex knows the term of each stored entry by the first index of each run
-// of one term.
+// termIndex looks up the term of a stored entry by its index. It keeps one termRun
+// for each run of consecutive entries with the same term.
 type termIndex struct {
-	first uint64 // lowest index known
+	first uint64 // lowest index covered
 	last  uint64
 	runs  []termRun
 }
 
+// termRun is the index of the first entry in a run, and the term of the run.
 type termRun struct{ index, term uint64 }
 
+// reset empties the index, except for the entry that the log begins after.
 func (t *termIndex) reset(index, term uint64) {
 	*t = termIndex{first: index, last: index, runs: []termRun{{index, term}}}
 }
 
+// append adds entries, replacing those from the first one's index on.
 func (t *termIndex) append(entries []consensus.Entry) {
 	first := entries[0].Index
 	for len(t.runs) > 0 && t.runs[len(t.runs)-1].index >= first {
@@ -34,6 +37,7 @@
 	}
 }
 
+// at returns the term of the entry at index, or false if the entry is not stored.
 func (t *termIndex) at(index uint64) (uint64, bool) {
 	if index < t.first || index > t.last {
 		return 0, false
@@ -45,7 +49,7 @@
 	return t.runs[i-1].term, true
 }
 
-// compact forgets what lies before index.
+// compact drops all entries before index.
 func (t *termIndex) compact(index uint64) {
 	term, ok := t.at(index)
 	if !ok {
