--- a/node/durable/bench_test.go
+++ b/node/durable/bench_test.go
@@ -15,17 +15,17 @@
 	"almondseam.dev/core/consensus"
 )
 
-const benchData = 200 // bytes of one entry's data
+const benchDataBytes = 200 // bytes of one entry's data
 
 func benchEntries(first uint64, n int) []consensus.Entry {
 	entries := make([]consensus.Entry, n)
 	for i := range entries {
-		entries[i] = consensus.Entry{Index: first + uint64(i), Term: 1, Type: consensus.EntryCommand, Data: make([]byte, benchData)}
+		entries[i] = consensus.Entry{Index: first + uint64(i), Term: 1, Type: consensus.EntryCommand, Data: make([]byte, benchDataBytes)}
 	}
 	return entries
 }
 
-// BenchmarkSave: entries into one folder, one fsync a save.
+// BenchmarkSave measures Save with several batch sizes; every call syncs.
 func BenchmarkSave(b *testing.B) {
 	for _, batch := range []int{1, 16, 256, 4096} {
 		b.Run(fmt.Sprintf("batch=%d", batch), func(b *testing.B) {
@@ -49,8 +49,8 @@
 	}
 }
 
-// BenchmarkSaveSnapshot: a snapshot of so many bytes of state, with what the
-// file holds besides.
+// BenchmarkSaveSnapshot measures SaveSnapshot with several state sizes. B-besides/op
+// is the number of bytes written in addition to the state.
 func BenchmarkSaveSnapshot(b *testing.B) {
 	for _, size := range []int{1 << 20, 16 << 20} {
 		b.Run(fmt.Sprintf("state=%dMiB", size>>20), func(b *testing.B) {
@@ -72,8 +72,8 @@
 	}
 }
 
-// BenchmarkRestart: Open and consensus.New of a folder with so many entries
-// after its snapshot.
+// BenchmarkRestart measures Open and consensus.New for a directory with the given
+// number of entries and no snapshot.
 func BenchmarkRestart(b *testing.B) {
 	for _, count := range []int{1000, 10000, 100000} {
 		b.Run(fmt.Sprintf("entries=%d", count), func(b *testing.B) {
@@ -103,16 +103,16 @@
 	}
 }
 
-// benchMember is a member with a folder of its own and an inbox, driven by one
-// goroutine as the package comment of consensus asks.
+// benchMember is a member with its own data directory and inbox. One goroutine drives
+// it, as the package comment of consensus requires.
 type benchMember struct {
-	node  *consensus.Node
-	store *Store
-	inbox chan any // consensus.Message or [][]byte
-	stop  chan struct{}
-	group []*benchMember
-	lead  atomic.Bool
-	done  func(int)
+	node        *consensus.Node
+	store       *Store
+	inbox       chan any // consensus.Message, [][]byte (proposals) or nil (a tick)
+	stop        chan struct{}
+	group       []*benchMember
+	leading     atomic.Bool
+	onCommitted func(int)
 }
 
 func (m *benchMember) run() error {
@@ -121,27 +121,27 @@
 		case <-m.stop:
 			return nil
 		case first := <-m.inbox:
-			if err := m.take(first); err != nil {
+			if err := m.handle(first); err != nil {
 				return err
 			}
 		}
 		for more := true; more; {
 			select {
 			case x := <-m.inbox:
-				if err := m.take(x); err != nil {
+				if err := m.handle(x); err != nil {
 					return err
 				}
 			default:
 				more = false
 			}
 		}
-		if err := m.work(); err != nil {
+		if err := m.processReady(); err != nil {
 			return err
 		}
 	}
 }
 
-func (m *benchMember) take(x any) error {
+func (m *benchMember) handle(x any) error {
 	switch x := x.(type) {
 	case consensus.Message:
 		return m.node.Step(x)
@@ -152,7 +152,7 @@
 	return nil
 }
 
-func (m *benchMember) work() error {
+func (m *benchMember) processReady() error {
 	for m.node.HasReady() {
 		rd := m.node.Ready()
 		m.send(rd.Early)
@@ -164,7 +164,7 @@
 			return err
 		}
 		m.send(rd.Messages)
-		m.lead.Store(rd.Role == consensus.RoleLeader)
+		m.leading.Store(rd.Role == consensus.RoleLeader)
 		commands := 0
 		for _, e := range rd.Committed {
 			if e.Type == consensus.EntryCommand {
@@ -172,7 +172,7 @@
 			}
 		}
 		if rd.Role == consensus.RoleLeader {
-			m.done(commands)
+			m.onCommitted(commands)
 		}
 		m.node.Advance()
 	}
@@ -183,14 +183,14 @@
 	for _, msg := range msgs {
 		select {
 		case m.group[msg.To-1].inbox <- msg:
-		default: // a lost message is sent again
+		default: // the inbox is full; consensus sends lost messages again
 		}
 	}
 }
 
-// BenchmarkGroup: entries from Propose to committed on the leader, in a group
-// whose members all share this machine's disk; messages go through memory. So
-// many callers each wait for their entry before the next.
+// BenchmarkGroup measures entries from Propose to commit on the leader. All members
+// share one disk, and messages are passed in memory. Each caller waits for its entry
+// to be committed before it proposes the next one.
 func BenchmarkGroup(b *testing.B) {
 	for _, voters := range []int{3, 5} {
 		for _, callers := range []int{1, 64, 1024} {
@@ -215,8 +215,8 @@
 	group := make([]*benchMember, voters)
 	stop := make(chan struct{})
 	tokens := make(chan struct{}, callers)
-	var left sync.WaitGroup
-	left.Add(b.N)
+	var remaining sync.WaitGroup
+	remaining.Add(b.N)
 	for i := range group {
 		store, _, err := Open(OS{}, filepath.Join(b.TempDir(), fmt.Sprint("data", i)))
 		if err != nil {
@@ -229,43 +229,43 @@
 		if err != nil {
 			b.Fatal(err)
 		}
-		group[i] = &benchMember{node: node, store: store, inbox: make(chan any, 4096), stop: stop, group: group, done: func(n int) {
+		group[i] = &benchMember{node: node, store: store, inbox: make(chan any, 4096), stop: stop, group: group, onCommitted: func(n int) {
 			for range n {
 				tokens <- struct{}{}
-				left.Done()
+				remaining.Done()
 			}
 		}}
 	}
-	var running conc.WaitGroup
+	var goroutines conc.WaitGroup
 	for _, m := range group {
-		running.Go(func() {
+		goroutines.Go(func() {
 			if err := m.run(); err != nil {
 				b.Error(err)
 				os.Exit(1)
 			}
 		})
 	}
-	for !group[0].lead.Load() {
+	for !group[0].leading.Load() {
 		if len(group[0].inbox) == 0 {
-			group[0].inbox <- nil // a tick, for the first member alone
+			group[0].inbox <- nil // a tick; only the first member gets ticks
 		}
 		runtime.Gosched()
 	}
 	start := group[0].store.Stats()
 	b.ResetTimer()
-	running.Go(func() {
+	goroutines.Go(func() {
 		for i := range b.N {
 			if i >= callers {
 				<-tokens
 			}
-			group[0].inbox <- [][]byte{make([]byte, benchData)}
+			group[0].inbox <- [][]byte{make([]byte, benchDataBytes)}
 		}
 	})
-	left.Wait()
+	remaining.Wait()
 	b.StopTimer()
 	elapsed := b.Elapsed().Seconds()
 	close(stop)
-	running.Wait()
+	goroutines.Wait()
 	st := group[0].store.Stats()
 	b.ReportMetric(float64(b.N)/elapsed, "entries/s")
 	b.ReportMetric(float64(st.Syncs-start.Syncs)/elapsed, "syncs/s")
--- a/node/durable/memfs_test.go
+++ b/node/durable/memfs_test.go
@@ -14,9 +14,10 @@
 	errDisk  = errors.New("no space left on device")
 )
 
-// inode is one file: what a reader sees, what is durable, and the writes between.
+// inode is one file: the content a reader sees, the durable content, and the writes
+// that are not durable yet.
 type inode struct {
-	seen    []byte
+	visible []byte
 	durable []byte
 	pending []write
 }
@@ -26,63 +27,63 @@
 	b  []byte
 }
 
-// dirOp is a change of the folder that isn't durable yet.
+// dirOp is a change of the directory that is not durable yet.
 type dirOp struct {
-	name, gone string // name gets node, gone disappears; either may be empty
-	node       *inode
+	name, removed string // name is set to node, removed is deleted; either may be empty
+	node          *inode
 }
 
 func (op dirOp) do(dir map[string]*inode) {
-	if op.gone != "" {
-		delete(dir, op.gone)
+	if op.removed != "" {
+		delete(dir, op.removed)
 	}
 	if op.name != "" {
 		dir[op.name] = op.node
 	}
 }
 
-// failure says what happens at one operation that changes the disk.
-type failure int
+// failureMode is the kind of failure at a chosen operation that changes the disk.
+type failureMode int
 
 const (
-	failCrash failure = iota // the process ends before it, a write half done
-	failOnce                 // an error; a failed sync loses what it should have kept
+	failCrash failureMode = iota // the process ends before the operation; a write is half done
+	failOnce                     // only this operation fails; a failed sync loses the unsynced data
 )
 
-// memFS is a file system in memory that fails at a chosen operation, and of
-// which a crash keeps only what was synced, plus any part of the rest.
+// memFS is a file system in memory that fails at a chosen operation. A power loss
+// keeps what was synced and any part of the rest.
 type memFS struct {
-	seen    map[string]*inode
+	visible map[string]*inode
 	durable map[string]*inode
 	pending []dirOp
 	ops     int
 	failAt  int // 0 for never
-	how     failure
+	mode    failureMode
 	log     []string
 	locked  bool
 }
 
 func newMemFS() *memFS {
-	return &memFS{seen: map[string]*inode{}, durable: map[string]*inode{}}
+	return &memFS{visible: map[string]*inode{}, durable: map[string]*inode{}}
 }
 
-// step counts an operation and tells whether it fails.
-func (m *memFS) step(what string) error {
+// countOperation counts and logs an operation and returns an error if it is to fail.
+func (m *memFS) countOperation(operation string) error {
 	m.ops++
-	m.log = append(m.log, what)
+	m.log = append(m.log, operation)
 	switch {
-	case m.failAt == 0 || m.ops < m.failAt || m.how == failOnce && m.ops > m.failAt:
+	case m.failAt == 0 || m.ops < m.failAt || m.mode == failOnce && m.ops > m.failAt:
 		return nil
-	case m.how == failOnce:
+	case m.mode == failOnce:
 		return errDisk
 	}
 	return errCrash
 }
 
-// survive gives the file system as a restart finds it. Keep chooses, for each
-// write and each change of the folder that wasn't synced, how much of it the
-// disk had taken: of a write, from 0 to 1 of its length.
-func (m *memFS) survive(keep func() float64) *memFS {
+// afterPowerLoss returns the file system as it is after a power loss. For each
+// unsynced write, keep returns the fraction of its length, from 0 to 1, that reached
+// the disk. An unsynced change of the directory is kept if keep returns at least 0.5.
+func (m *memFS) afterPowerLoss(keep func() float64) *memFS {
 	out := newMemFS()
 	dir := map[string]*inode{}
 	for name, n := range m.durable {
@@ -108,22 +109,22 @@
 				copy(b[w.at:], part)
 			}
 		}
-		n := &inode{seen: b, durable: slices.Clone(b)}
-		out.seen[name], out.durable[name] = n, n
+		n := &inode{visible: b, durable: slices.Clone(b)}
+		out.visible[name], out.durable[name] = n, n
 	}
 	return out
 }
 
-// killed gives the file system as a restart finds it when only the process has
-// died: all that was written can be read, but what wasn't synced is still only
-// in memory.
-func (m *memFS) killed() *memFS {
+// afterKill returns the same file system as it is after only the process died: all
+// written data can be read, but unsynced data is still only in memory.
+func (m *memFS) afterKill() *memFS {
 	m.failAt, m.ops, m.locked, m.log = 0, 0, false, nil
 	return m
 }
 
-// survivals are ways in which a crash may treat what wasn't synced.
-func survivals(rng *rand.Rand) []func() float64 {
+// powerLossOutcomes returns keep functions for afterPowerLoss: one that keeps no
+// unsynced data, one that keeps all of it, and four that keep random parts.
+func powerLossOutcomes(rng *rand.Rand) []func() float64 {
 	all := []func() float64{func() float64 { return 0 }, func() float64 { return 1 }}
 	for range 4 {
 		all = append(all, func() float64 { return []float64{0, 1, rng.Float64()}[rng.IntN(3)] })
@@ -146,32 +147,32 @@
 func (u unlock) Close() error { u.m.locked = false; return nil }
 
 func (m *memFS) Create(name string) (File, error) {
-	if err := m.step("create " + filepath.Base(name)); err != nil {
+	if err := m.countOperation("create " + filepath.Base(name)); err != nil {
 		return nil, err
 	}
 	n := &inode{}
-	m.seen[name] = n
+	m.visible[name] = n
 	m.pending = append(m.pending, dirOp{name: name, node: n})
 	return &memFile{m, n, name}, nil
 }
 
 func (m *memFS) Append(name string) (File, error) {
-	if m.seen[name] == nil {
+	if m.visible[name] == nil {
 		return nil, fs.ErrNotExist
 	}
-	return &memFile{m, m.seen[name], name}, nil
+	return &memFile{m, m.visible[name], name}, nil
 }
 
 func (m *memFS) ReadFile(name string) ([]byte, error) {
-	if n := m.seen[name]; n != nil {
-		return slices.Clone(n.seen), nil
+	if n := m.visible[name]; n != nil {
+		return slices.Clone(n.visible), nil
 	}
 	return nil, fs.ErrNotExist
 }
 
 func (m *memFS) ReadDir(string) ([]string, error) {
 	var names []string
-	for name := range m.seen {
+	for name := range m.visible {
 		names = append(names, filepath.Base(name))
 	}
 	slices.Sort(names)
@@ -179,40 +180,40 @@
 }
 
 func (m *memFS) Truncate(name string, size int64) error {
-	if err := m.step("truncate " + filepath.Base(name)); err != nil {
+	if err := m.countOperation("truncate " + filepath.Base(name)); err != nil {
 		return err
 	}
-	n := m.seen[name]
-	n.seen = n.seen[:size]
-	n.durable, n.pending = slices.Clone(n.seen), nil
+	n := m.visible[name]
+	n.visible = n.visible[:size]
+	n.durable, n.pending = slices.Clone(n.visible), nil
 	return nil
 }
 
 func (m *memFS) Rename(from, to string) error {
-	if err := m.step("rename " + filepath.Base(to)); err != nil {
+	if err := m.countOperation("rename " + filepath.Base(to)); err != nil {
 		return err
 	}
-	op := dirOp{name: to, gone: from, node: m.seen[from]}
-	op.do(m.seen)
+	op := dirOp{name: to, removed: from, node: m.visible[from]}
+	op.do(m.visible)
 	m.pending = append(m.pending, op)
 	return nil
 }
 
 func (m *memFS) Remove(name string) error {
-	if err := m.step("remove " + filepath.Base(name)); err != nil {
+	if err := m.countOperation("remove " + filepath.Base(name)); err != nil {
 		return err
 	}
-	if m.seen[name] == nil {
+	if m.visible[name] == nil {
 		return fs.ErrNotExist
 	}
-	op := dirOp{gone: name}
-	op.do(m.seen)
+	op := dirOp{removed: name}
+	op.do(m.visible)
 	m.pending = append(m.pending, op)
 	return nil
 }
 
 func (m *memFS) SyncDir(string) error {
-	err := m.step("sync folder")
+	err := m.countOperation("sync folder")
 	if err == nil {
 		for _, op := range m.pending {
 			op.do(m.durable)
@@ -231,21 +232,21 @@
 }
 
 func (f *memFile) Write(b []byte) (int, error) {
-	err := f.m.step("write " + filepath.Base(f.name))
+	err := f.m.countOperation("write " + filepath.Base(f.name))
 	if err != nil {
 		b = b[:len(b)/2]
 	}
-	f.n.pending = append(f.n.pending, write{len(f.n.seen), slices.Clone(b)})
-	f.n.seen = append(f.n.seen, b...)
+	f.n.pending = append(f.n.pending, write{len(f.n.visible), slices.Clone(b)})
+	f.n.visible = append(f.n.visible, b...)
 	return len(b), err
 }
 
-// Sync that fails leaves the pages clean but not on the disk, as kernels do: a
-// later Sync would succeed and still not have them.
+// Sync makes the content durable. If it fails, it marks the data as clean although it
+// is not on disk, as kernels do: a later Sync succeeds without writing it.
 func (f *memFile) Sync() error {
-	err := f.m.step("sync " + filepath.Base(f.name))
+	err := f.m.countOperation("sync " + filepath.Base(f.name))
 	if err == nil {
-		f.n.durable = slices.Clone(f.n.seen)
+		f.n.durable = slices.Clone(f.n.visible)
 	}
 	if err != errCrash {
 		f.n.pending = nil
--- a/node/durable/store_test.go
+++ b/node/durable/store_test.go
@@ -16,18 +16,18 @@
 )
 
 const (
-	testDir      = "/data"
-	tinySegments = 300
+	testDir          = "/data"
+	testSegmentBytes = 300
 )
 
-// model is what a folder must hold: the state after the last confirmed call, and
+// model is the state that a directory must hold after the last confirmed call, and
 // the lowest commit index that a crash may bring back.
 type model struct {
 	consensus.Restored
 	syncedCommit uint64
 }
 
-// op is one call on the store and what it does to the model.
+// op is one call on the store; apply returns its effect on the model.
 type op struct {
 	hs       *consensus.HardState
 	entries  []consensus.Entry
@@ -68,7 +68,7 @@
 	return m
 }
 
-// nextOp draws a call that a member could make in state m.
+// nextOp returns a random call that a member could make in state m.
 func nextOp(rng *rand.Rand, m model) op {
 	last := m.Snapshot.Index + uint64(len(m.Entries))
 	hs := m.HardState
@@ -91,7 +91,7 @@
 		}
 	}
 	first := last + 1
-	if rng.IntN(4) == 0 { // a new leader overwrites what wasn't committed
+	if rng.IntN(4) == 0 { // a new leader overwrites uncommitted entries
 		first = hs.Commit + 1
 	}
 	hs.Term = max(hs.Term, 1) + uint64(rng.IntN(2))
@@ -112,9 +112,9 @@
 	})
 }
 
-// accept tells whether got is a state between confirmed and confirmed plus the
-// call under way.
-func accept(got consensus.Restored, confirmed, next model) error {
+// checkRecovered returns an error unless got is the confirmed state or the state after
+// the call in progress, or has only parts of that call applied.
+func checkRecovered(got consensus.Restored, confirmed, next model) error {
 	var match *model
 	for _, m := range []*model{&confirmed, &next} {
 		if reflect.DeepEqual(got.Snapshot, m.Snapshot) && equalEntries(got.Entries, m.Entries) {
@@ -134,15 +134,16 @@
 	return err
 }
 
-// drive makes n random calls, until one fails; it gives the state confirmed and
-// the one under way. A store that failed must refuse everything from then on.
-func drive(s *Store, rng *rand.Rand, m model, n int) (confirmed, next model, err error) {
+// runRandomOps makes up to n random calls, until one fails. It returns the confirmed
+// state and the state after the call in progress. A store that failed must reject the
+// same call when it is repeated.
+func runRandomOps(s *Store, rng *rand.Rand, m model, n int) (confirmed, next model, err error) {
 	for range n {
 		o := nextOp(rng, m)
 		next = o.apply(m)
 		if err = o.call(s); err != nil {
 			if again := o.call(s); !errors.Is(again, ErrStopped) {
-				return m, next, fmt.Errorf("a stopped store answered %w", again)
+				return m, next, fmt.Errorf("a stopped store returned %w", again)
 			}
 			return m, next, err
 		}
@@ -151,10 +152,10 @@
 	return m, m, nil
 }
 
-// A member loses power at any point: before each write, sync, rename and
-// removal, with any part of what wasn't synced on the disk, in any order. What
-// it had confirmed must be there again, and nothing that was never saved. Then
-// power fails once more, in the recovery or after it.
+// Power fails, or the process is killed, at each write, sync, rename and removal,
+// and any part of the unsynced data may have reached the disk. Confirmed data must be
+// restored, and nothing that was never saved. Then power fails a second time, during
+// the recovery or after it.
 func TestCrashAtEveryPoint(t *testing.T) {
 	recoveries := 0
 	for seed := uint64(1); seed <= 6; seed++ {
@@ -163,21 +164,21 @@
 			m.failAt = failAt
 			rng := rand.New(rand.NewPCG(seed, 2))
 			var confirmed, next model
-			s, _, err := open(m, testDir, tinySegments)
+			s, _, err := open(m, testDir, testSegmentBytes)
 			if err == nil {
-				confirmed, next, err = drive(s, rng, model{}, 30)
+				confirmed, next, err = runRandomOps(s, rng, model{}, 30)
 			}
 			if err == nil {
-				break // the run has fewer operations
+				break // the run has fewer than failAt operations
 			}
 			if !errors.Is(err, errCrash) {
 				t.Fatalf("seed %d, crash at %d (%s): %v", seed, failAt, m.log[failAt-1], err)
 			}
-			for way, keep := range survivals(rand.New(rand.NewPCG(seed, uint64(failAt)))) {
-				crashTwice(t, m.survive(keep), confirmed, next, fmt.Sprintf("seed %d, crash at %d (%s), way %d", seed, failAt, m.log[failAt-1], way))
+			for outcome, keep := range powerLossOutcomes(rand.New(rand.NewPCG(seed, uint64(failAt)))) {
+				recoverAndCrashAgain(t, m.afterPowerLoss(keep), confirmed, next, fmt.Sprintf("seed %d, crash at %d (%s), outcome %d", seed, failAt, m.log[failAt-1], outcome))
 				recoveries++
 			}
-			crashTwice(t, m.killed(), confirmed, next, fmt.Sprintf("seed %d, killed at %d", seed, failAt))
+			recoverAndCrashAgain(t, m.afterKill(), confirmed, next, fmt.Sprintf("seed %d, killed at %d", seed, failAt))
 		}
 	}
 	if recoveries < 4000 {
@@ -185,42 +186,42 @@
 	}
 }
 
-func crashTwice(t *testing.T, m *memFS, confirmed, next model, what string) {
+func recoverAndCrashAgain(t *testing.T, m *memFS, confirmed, next model, label string) {
 	t.Helper()
-	rng := rand.New(rand.NewPCG(uint64(len(what)), 5))
+	rng := rand.New(rand.NewPCG(uint64(len(label)), 5))
 	m.failAt = 1 + rng.IntN(25)
-	s, got, err := open(m, testDir, tinySegments)
+	s, got, err := open(m, testDir, testSegmentBytes)
 	if err == nil {
-		if err := accept(got, confirmed, next); err != nil {
-			t.Fatalf("%s: %v", what, err)
+		if err := checkRecovered(got, confirmed, next); err != nil {
+			t.Fatalf("%s: %v", label, err)
 		}
 		confirmed = model{got, got.HardState.Commit}
-		confirmed, next, err = drive(s, rng, confirmed, 10)
+		confirmed, next, err = runRandomOps(s, rng, confirmed, 10)
 	}
 	if err != nil && !errors.Is(err, errCrash) {
-		t.Fatalf("%s: recovery: %v", what, err)
+		t.Fatalf("%s: recovery: %v", label, err)
 	}
-	_, got, err = open(m.survive(survivals(rng)[rng.IntN(6)]), testDir, tinySegments)
+	_, got, err = open(m.afterPowerLoss(powerLossOutcomes(rng)[rng.IntN(6)]), testDir, testSegmentBytes)
 	if err == nil {
-		err = accept(got, confirmed, next)
+		err = checkRecovered(got, confirmed, next)
 	}
 	if err != nil {
-		t.Fatalf("%s, second crash at %d: %v", what, m.failAt, err)
+		t.Fatalf("%s, second crash at %d: %v", label, m.failAt, err)
 	}
 }
 
-// The disk is full, or a sync fails, at any one operation; everything after
-// would succeed. The member must stop with that error and never confirm
-// anything again: the failed sync has lost what it was to keep.
+// One operation fails, for example on a full disk, and all later ones would succeed.
+// The store must return that error and confirm nothing afterwards, because a failed
+// sync loses the data that it should have made durable.
 func TestFailedWriteStopsForGood(t *testing.T) {
 	for failAt := 1; ; failAt++ {
 		m := newMemFS()
-		m.failAt, m.how = failAt, failOnce
+		m.failAt, m.mode = failAt, failOnce
 		rng := rand.New(rand.NewPCG(3, 3))
 		var confirmed, next model
-		s, _, err := open(m, testDir, tinySegments)
+		s, _, err := open(m, testDir, testSegmentBytes)
 		if err == nil {
-			confirmed, next, err = drive(s, rng, model{}, 40)
+			confirmed, next, err = runRandomOps(s, rng, model{}, 40)
 		}
 		if m.ops < failAt {
 			return
@@ -228,9 +229,9 @@
 		if !errors.Is(err, errDisk) {
 			t.Fatalf("failure at %d (%s): %v", failAt, m.log[failAt-1], err)
 		}
-		_, got, err := open(m.survive(func() float64 { return 0 }), testDir, tinySegments)
+		_, got, err := open(m.afterPowerLoss(func() float64 { return 0 }), testDir, testSegmentBytes)
 		if err == nil {
-			err = accept(got, confirmed, next)
+			err = checkRecovered(got, confirmed, next)
 		}
 		if err != nil {
 			t.Fatalf("failure at %d (%s): %v", failAt, m.log[failAt-1], err)
@@ -238,40 +239,40 @@
 	}
 }
 
-// sound gives a folder with several segments, a snapshot and a newest segment
+// intactDir returns a directory with several segments, a snapshot and a newest segment
 // of several frames, all durable.
-func sound(t *testing.T) (*memFS, model) {
+func intactDir(t *testing.T) (*memFS, model) {
 	m := newMemFS()
-	s, _, err := open(m, testDir, tinySegments)
+	s, _, err := open(m, testDir, testSegmentBytes)
 	if err != nil {
 		t.Fatal(err)
 	}
-	confirmed, _, err := drive(s, rand.New(rand.NewPCG(16, 16)), model{}, 60)
+	confirmed, _, err := runRandomOps(s, rand.New(rand.NewPCG(16, 16)), model{}, 60)
 	if err != nil {
 		t.Fatal(err)
 	}
 	if err := s.sync(); err != nil || len(s.segments) < 3 || s.snapshotIndex == 0 {
 		t.Fatalf("%d segments, snapshot %d, %v", len(s.segments), s.snapshotIndex, err)
 	}
-	return m.survive(func() float64 { return 1 }), confirmed
+	return m.afterPowerLoss(func() float64 { return 1 }), confirmed
 }
 
-// One byte of the folder is damaged, anywhere. The member either refuses to
-// start and names the file, or, where the damage can't be told from a torn
-// tail (the last frame of all), starts without that frame.
+// One bit is flipped, in each byte of each file in turn. Open must either return
+// ErrDamaged with the file's name or, if the damage is in the newest segment's last
+// frame and so looks like a torn tail, open the directory without that frame.
 func TestEveryByteIsGuarded(t *testing.T) {
-	m, want := sound(t)
+	m, want := intactDir(t)
 	cut := 0
-	for name, n := range m.seen {
-		for at := range n.seen {
-			n.seen[at] ^= 0x40
-			copied := m.copySeen()
-			n.seen[at] ^= 0x40
-			_, got, err := open(copied, testDir, tinySegments)
+	for name, n := range m.visible {
+		for at := range n.visible {
+			n.visible[at] ^= 0x40
+			copied := m.copyVisible()
+			n.visible[at] ^= 0x40
+			_, got, err := open(copied, testDir, testSegmentBytes)
 			var e *Error
 			switch {
 			case errors.As(err, &e) && errors.Is(err, ErrDamaged) && strings.HasPrefix(e.File, testDir):
-			case err == nil && isNewest(m, name) && at >= lastFrame(m, name):
+			case err == nil && isNewestSegment(m, name) && at >= lastFrameOffset(m, name):
 				cut++
 			default:
 				t.Fatalf("%s, byte %d: %v, got %+v, want %+v", name, at, err, got, want)
@@ -281,17 +282,17 @@
 	qt.Assert(t, cut > 0, qt.IsTrue)
 }
 
-func (m *memFS) copySeen() *memFS {
+func (m *memFS) copyVisible() *memFS {
 	out := newMemFS()
-	for name, n := range m.seen {
-		out.seen[name] = &inode{seen: slices.Clone(n.seen), durable: slices.Clone(n.seen)}
-		out.durable[name] = out.seen[name]
+	for name, n := range m.visible {
+		out.visible[name] = &inode{visible: slices.Clone(n.visible), durable: slices.Clone(n.visible)}
+		out.durable[name] = out.visible[name]
 	}
 	return out
 }
 
-func isNewest(m *memFS, name string) bool {
-	for other := range m.seen {
+func isNewestSegment(m *memFS, name string) bool {
+	for other := range m.visible {
 		if strings.HasSuffix(other, segmentSuffix) && other > name {
 			return false
 		}
@@ -299,9 +300,9 @@
 	return strings.HasSuffix(name, segmentSuffix)
 }
 
-func lastFrame(m *memFS, name string) int {
+func lastFrameOffset(m *memFS, name string) int {
 	seq, _ := parseName(filepath.Base(name), segmentPrefix, segmentSuffix)
-	b, last := m.seen[name].seen, uint64(0)
+	b, last := m.visible[name].visible, uint64(0)
 	for at := uint64(0); at < uint64(len(b)); {
 		f, _ := readFrame(b, seq, at)
 		last, at = at, at+f.size
@@ -309,72 +310,73 @@
 	return int(last)
 }
 
-// A file of the folder is gone. A member that went on would have forgotten votes
-// or entries; it refuses.
+// A file of the directory is missing. Open must fail, because a member that started
+// would have lost votes or entries.
 func TestMissingFiles(t *testing.T) {
-	m, _ := sound(t)
-	for name := range m.seen {
-		if isNewest(m, name) {
-			continue // nothing else in the folder tells of it; see the design note
+	m, _ := intactDir(t)
+	for name := range m.visible {
+		if isNewestSegment(m, name) {
+			continue // no other file records that it existed
 		}
 		t.Run(filepath.Base(name), func(t *testing.T) {
-			copied := m.copySeen()
-			delete(copied.seen, name)
-			_, _, err := open(copied, testDir, tinySegments)
+			copied := m.copyVisible()
+			delete(copied.visible, name)
+			_, _, err := open(copied, testDir, testSegmentBytes)
 			qt.Assert(t, errors.Is(err, ErrDamaged), qt.IsTrue, qt.Commentf("%v", err))
 		})
 	}
 }
 
-// Segments are cut short. An older one must show it by what the next one says
-// of its end; the newest may be read up to its last whole frame.
+// An older segment is truncated at each length in turn. Open must detect it, by an
+// invalid frame or by the next header, which names the entry that it follows. Only the
+// newest segment may end in a torn tail.
 func TestShortenedSegments(t *testing.T) {
-	m, _ := sound(t)
-	for name, n := range m.seen {
-		if !strings.HasSuffix(name, segmentSuffix) || isNewest(m, name) {
+	m, _ := intactDir(t)
+	for name, n := range m.visible {
+		if !strings.HasSuffix(name, segmentSuffix) || isNewestSegment(m, name) {
 			continue
 		}
-		for size := range n.seen {
-			copied := m.copySeen()
-			copied.seen[name].seen = copied.seen[name].seen[:size]
-			if _, _, err := open(copied, testDir, tinySegments); !errors.Is(err, ErrDamaged) {
-				t.Fatalf("%s cut to %d of %d: %v", name, size, len(n.seen), err)
+		for size := range n.visible {
+			copied := m.copyVisible()
+			copied.visible[name].visible = copied.visible[name].visible[:size]
+			if _, _, err := open(copied, testDir, testSegmentBytes); !errors.Is(err, ErrDamaged) {
+				t.Fatalf("%s cut to %d of %d: %v", name, size, len(n.visible), err)
 			}
 		}
 	}
 }
 
-// The whole log is gone and the identity is still there: the folder must not
-// come back as a member that has voted for nobody.
+// The whole log is missing, but the identity is not. The directory must not be opened
+// as that of a member that has not voted.
 func TestIdentityWithoutLog(t *testing.T) {
-	m, _ := sound(t)
-	for name := range m.seen {
+	m, _ := intactDir(t)
+	for name := range m.visible {
 		if filepath.Base(name) != identityFileName {
-			delete(m.seen, name)
+			delete(m.visible, name)
 		}
 	}
-	_, _, err := open(m, testDir, tinySegments)
+	_, _, err := open(m, testDir, testSegmentBytes)
 	qt.Assert(t, errors.Is(err, ErrDamaged), qt.IsTrue, qt.Commentf("%v", err))
 }
 
-// Somebody put another member's snapshot into the folder. It doesn't agree with
-// the log, which has committed more; dropping the log would lose entries.
+// The directory contains another member's snapshot. It conflicts with the log, whose
+// commit index is higher; resetting the log to the snapshot would lose entries.
 func TestForeignSnapshot(t *testing.T) {
 	c := qt.New(t)
 	m := newMemFS()
-	s, _, err := open(m, testDir, tinySegments)
+	s, _, err := open(m, testDir, testSegmentBytes)
 	c.Assert(err, qt.IsNil)
 	c.Assert(s.Save(&consensus.HardState{Term: 1, Commit: 5}, benchEntries(1, 6), true), qt.IsNil)
 	c.Assert(s.Close(), qt.IsNil)
 	payload, _ := consensus.Encode(snapshotFile{Version: formatVersion, Snapshot: consensus.Snapshot{Index: 3, Term: 7}})
 	name := filepath.Join(testDir, snapshotName(3))
-	m.seen[name] = &inode{seen: appendFrame(nil, 3, 0, 0, payload)}
-	_, _, err = open(m, testDir, tinySegments)
+	m.visible[name] = &inode{visible: appendFrame(nil, 3, 0, 0, payload)}
+	_, _, err = open(m, testDir, testSegmentBytes)
 	c.Assert(errors.Is(err, ErrDamaged), qt.IsTrue, qt.Commentf("%v", err))
 }
 
-// A disk that puts a frame at the wrong place, or into the wrong file, leaves
-// bytes whose checksum would be right were the place no part of it.
+// A disk writes a frame at the wrong offset or into the wrong file. The frame must be
+// rejected, because its checksum also covers the file and the offset.
 func TestFrameIsOfItsPlace(t *testing.T) {
 	c := qt.New(t)
 	b := appendFrame(make([]byte, 8), 5, 8, 0, []byte("x"))
@@ -388,23 +390,23 @@
 	}
 }
 
-// A folder of a newer program is refused by name of its version, not read as
-// far as it seems to fit.
+// A directory written by a newer program must be rejected with ErrVersion, not read as
+// far as its content can be decoded.
 func TestNewerFormatRefused(t *testing.T) {
 	c := qt.New(t)
 	m := newMemFS()
-	s, _, err := open(m, testDir, tinySegments)
+	s, _, err := open(m, testDir, testSegmentBytes)
 	c.Assert(err, qt.IsNil)
 	c.Assert(s.rotate(header{}), qt.IsNil)
 	payload, _ := consensus.Encode(header{Version: formatVersion + 1, Seq: 2})
-	m.seen[filepath.Join(testDir, segmentName(2))].seen = appendFrame(nil, 2, 0, 0, payload)
+	m.visible[filepath.Join(testDir, segmentName(2))].visible = appendFrame(nil, 2, 0, 0, payload)
 	c.Assert(s.Close(), qt.IsNil)
-	_, _, err = open(m, testDir, tinySegments)
+	_, _, err = open(m, testDir, testSegmentBytes)
 	c.Assert(errors.Is(err, ErrVersion), qt.IsTrue)
 }
 
-// Two processes on one folder would overwrite each other's log; the second is
-// refused until the first lets go. The identity stays with the folder.
+// Two processes that use one directory would overwrite each other's log, so the second
+// is rejected until the first releases the lock. The identity stays with the directory.
 func TestFolderIsLocked(t *testing.T) {
 	c := qt.New(t)
 	dir := filepath.Join(c.TempDir(), "data")
@@ -424,8 +426,8 @@
 	c.Assert(again.Close(), qt.IsNil)
 }
 
-// Whatever a segment's frames hold, reading them neither panics nor gives a log
-// with gaps, and every refusal names the file.
+// Reading a segment with arbitrary frames must not panic or return a log with gaps,
+// and every error must name the file.
 func FuzzSegment(f *testing.F) {
 	entries, _ := consensus.Encode(batch{Entries: []consensus.Entry{{Index: 1, Term: 1, Type: consensus.EntryCommand}}})
 	hard, _ := consensus.Encode(batch{Hard: &consensus.HardState{Term: 2, Vote: 1}})
@@ -452,7 +454,8 @@
 	})
 }
 
-// Whatever a snapshot file holds, it is read whole or refused by name.
+// A snapshot file with arbitrary content must either be read completely or be rejected
+// with an Error.
 func FuzzSnapshot(f *testing.F) {
 	good, _ := consensus.Encode(snapshotFile{Version: formatVersion, Snapshot: consensus.Snapshot{Index: 7, Term: 2, Data: []byte("x")}})
 	f.Add(good, true)
@@ -461,7 +464,7 @@
 		if framed {
 			payload = appendFrame(nil, 7, 0, 0, payload)
 		}
-		m.seen[filepath.Join(testDir, snapshotName(7))] = &inode{seen: payload}
+		m.visible[filepath.Join(testDir, snapshotName(7))] = &inode{visible: payload}
 		s := &Store{fs: m, dir: testDir}
 		got, err := s.readSnapshot(dirContents{snapshots: []uint64{7}})
 		var e *Error
