--- a/node/standin/cache.go
+++ b/node/standin/cache.go
@@ -5,11 +5,13 @@
 	"time"
 )
 
-// maxCacheEvents bounds the events kept for readers that are behind.
+// maxCacheEvents bounds the events kept for readers; the oldest event is dropped
+// when the list is full.
 const maxCacheEvents = 1024
 
-// CacheEvent tells that a prefix entered or left the cache. Seq counts every
-// event, also those that are never shown, so a reader can see the gaps.
+// CacheEvent reports that a prefix was stored in the cache (Stored is true) or
+// evicted from it. Seq numbers all events, including lost ones, so a reader can
+// detect gaps.
 type CacheEvent struct {
 	Seq    uint64    `json:"seq"`
 	Prefix uint64    `json:"prefix,string"`
@@ -18,58 +20,59 @@
 	At     time.Time `json:"at"`
 }
 
-// prefix is one cached prompt prefix in whole blocks.
-type prefix struct {
+// cachedPrefix is one cached prompt prefix; it consists of whole blocks.
+type cachedPrefix struct {
 	hash   uint64
 	blocks int
 	refs   int
-	// ready is set once the first holder has computed it; others share it
-	// only then.
-	ready bool
-	used  time.Time
+	// ready is set once the sequence that created the prefix has computed it;
+	// other sequences can share the prefix only after that.
+	ready    bool
+	lastUsed time.Time
 }
 
-// prefixCache holds prefixes; those without holders are evicted, the least
-// recently used first, when blocks are needed.
+// prefixCache holds the cached prefixes. When blocks are needed, prefixes without
+// references are evicted, the least recently used first.
 type prefixCache struct {
-	byHash map[uint64]*prefix
-	// idle counts the blocks of prefixes without holders.
-	idle   int
-	events []CacheEvent
-	seq    uint64
-	loss   float64
-	rng    *rand.Rand
+	byHash map[uint64]*cachedPrefix
+	// idleBlocks counts the blocks of prefixes without references.
+	idleBlocks int
+	events     []CacheEvent
+	lastSeq    uint64
+	eventLoss  float64
+	rng        *rand.Rand
 }
 
-func newPrefixCache(loss float64, seed uint64) *prefixCache {
+func newPrefixCache(eventLoss float64, seed uint64) *prefixCache {
 	return &prefixCache{
-		byHash: map[uint64]*prefix{},
-		loss:   loss,
-		rng:    rand.New(rand.NewPCG(seed, 0xcac4e)),
+		byHash:    map[uint64]*cachedPrefix{},
+		eventLoss: eventLoss,
+		rng:       rand.New(rand.NewPCG(seed, 0xcac4e)),
 	}
 }
 
-// hold takes a reference.
-func (c *prefixCache) hold(p *prefix, now time.Time) {
+// addRef adds a reference to p.
+func (c *prefixCache) addRef(p *cachedPrefix, now time.Time) {
 	if p.refs == 0 {
-		c.idle -= p.blocks
+		c.idleBlocks -= p.blocks
 	}
 	p.refs++
-	p.used = now
+	p.lastUsed = now
 }
 
-// add creates a prefix with one reference.
-func (c *prefixCache) add(hash uint64, blocks int, now time.Time) *prefix {
-	p := &prefix{hash: hash, blocks: blocks, refs: 1, used: now}
+// add inserts a prefix with one reference. The prefix is not ready yet.
+func (c *prefixCache) add(hash uint64, blocks int, now time.Time) *cachedPrefix {
+	p := &cachedPrefix{hash: hash, blocks: blocks, refs: 1, lastUsed: now}
 	c.byHash[hash] = p
 	return p
 }
 
-// drop gives a reference back and returns the blocks that became free, which is
-// none unless the prefix was never completed.
-func (c *prefixCache) drop(p *prefix, now time.Time) int {
+// removeRef removes a reference from p and returns the number of blocks that became
+// free. That number is 0 unless p lost its last reference before it was ready; a
+// ready prefix stays in the cache until it is evicted.
+func (c *prefixCache) removeRef(p *cachedPrefix, now time.Time) int {
 	p.refs--
-	p.used = now
+	p.lastUsed = now
 	if p.refs > 0 {
 		return 0
 	}
@@ -77,18 +80,19 @@
 		delete(c.byHash, p.hash)
 		return p.blocks
 	}
-	c.idle += p.blocks
+	c.idleBlocks += p.blocks
 	return 0
 }
 
-// evict removes the least recently used idle prefix and returns its blocks.
+// evict removes the least recently used prefix without references and returns the
+// number of its blocks, or 0 if there is no such prefix.
 func (c *prefixCache) evict(blockTokens int, now time.Time) int {
-	var oldest *prefix
+	var oldest *cachedPrefix
 	for _, p := range c.byHash {
 		if p.refs > 0 {
 			continue
 		}
-		if oldest == nil || p.used.Before(oldest.used) || (p.used.Equal(oldest.used) && p.hash < oldest.hash) {
+		if oldest == nil || p.lastUsed.Before(oldest.lastUsed) || (p.lastUsed.Equal(oldest.lastUsed) && p.hash < oldest.hash) {
 			oldest = p
 		}
 	}
@@ -96,30 +100,32 @@
 		return 0
 	}
 	delete(c.byHash, oldest.hash)
-	c.idle -= oldest.blocks
-	c.publish(oldest, false, blockTokens, now)
+	c.idleBlocks -= oldest.blocks
+	c.recordEvent(oldest, false, blockTokens, now)
 	return oldest.blocks
 }
 
-// complete marks a prefix as shareable.
-func (c *prefixCache) complete(p *prefix, blockTokens int, now time.Time) {
+// markReady lets other sequences share p and records the event that p was stored.
+func (c *prefixCache) markReady(p *cachedPrefix, blockTokens int, now time.Time) {
 	p.ready = true
-	c.publish(p, true, blockTokens, now)
+	c.recordEvent(p, true, blockTokens, now)
 }
 
-func (c *prefixCache) publish(p *prefix, stored bool, blockTokens int, now time.Time) {
-	c.seq++
-	if c.rng.Float64() < c.loss {
+// recordEvent numbers an event and appends it to the events, or loses it with
+// probability eventLoss.
+func (c *prefixCache) recordEvent(p *cachedPrefix, stored bool, blockTokens int, now time.Time) {
+	c.lastSeq++
+	if c.rng.Float64() < c.eventLoss {
 		return
 	}
 	if len(c.events) == maxCacheEvents {
 		c.events = append(c.events[:0], c.events[1:]...)
 	}
-	c.events = append(c.events, CacheEvent{Seq: c.seq, Prefix: p.hash, Tokens: p.blocks * blockTokens, Stored: stored, At: now})
+	c.events = append(c.events, CacheEvent{Seq: c.lastSeq, Prefix: p.hash, Tokens: p.blocks * blockTokens, Stored: stored, At: now})
 }
 
-// since returns the events after seq that are at least lag old.
-func (c *prefixCache) since(seq uint64, lag time.Duration, now time.Time) []CacheEvent {
+// eventsAfter returns the events with a number above seq that are at least lag old.
+func (c *prefixCache) eventsAfter(seq uint64, lag time.Duration, now time.Time) []CacheEvent {
 	var out []CacheEvent
 	for _, ev := range c.events {
 		if ev.Seq > seq && !ev.At.Add(lag).After(now) {
--- a/node/standin/config.go
+++ b/node/standin/config.go
@@ -2,48 +2,56 @@
 
 import "time"
 
-// Config shapes one engine. Zero fields take the default named in each comment.
+// Config configures one engine. A zero field takes the default that its comment
+// states.
 type Config struct {
-	// Model is the model's name at /v1/models. Default "standin".
+	// Model is the name of the model that is loaded at the start and listed at
+	// /v1/models. Default "standin".
 	Model string
-	// BlockTokens is the size of one memory block in tokens. Default 16.
+	// BlockTokens is the size of one KV cache block in tokens. Default 16.
 	BlockTokens int
-	// Blocks is the number of memory blocks. Default 2500 (40,000 tokens).
+	// Blocks is the number of KV cache blocks. Default 2500 (40,000 tokens).
 	Blocks int
-	// MaxSeqs bounds the batch. Default 256.
+	// MaxSeqs limits the number of running sequences. Default 256.
 	MaxSeqs int
-	// Watermark is the number of blocks that must stay free when a waiting
-	// sequence is started. Default 1% of Blocks.
+	// Watermark is the number of blocks that must remain free after a waiting
+	// sequence is started while others run. Default 1% of Blocks.
 	Watermark int
-	// StepBase is the time of an empty step. Default 10 ms.
+	// StepBase is the fixed part of the duration of a step. Default 10 ms.
 	StepBase time.Duration
-	// StepPerSeq is added for each decoding sequence. Default 60 µs.
+	// StepPerSeq is added to a step for each decoding sequence. Default 60 µs.
 	StepPerSeq time.Duration
-	// StepPerKTok is added for each 1,000 tokens of context read. Default 300 µs.
+	// StepPerKTok is added to a step for each 1,000 tokens of context of the
+	// running sequences. Default 300 µs.
 	StepPerKTok time.Duration
-	// PrefillPerKTok is added for each 1,000 prompt tokens computed. Default 80 ms.
+	// PrefillPerKTok is added to a step for each 1,000 tokens prefilled.
+	// Default 80 ms.
 	PrefillPerKTok time.Duration
-	// PrefillChunk bounds the prompt tokens computed in one step. Default 2048.
+	// PrefillChunk limits the tokens prefilled in one step, over all sequences.
+	// Default 2048.
 	PrefillChunk int
-	// ReportEvery is the interval between load samples. Default 200 ms.
+	// ReportEvery is the minimum interval between load samples. Default 200 ms.
 	ReportEvery time.Duration
-	// ReportLag is the age at which a sample is first shown. Default 1 s.
+	// ReportLag is the age from which Report returns a load sample. Default 1 s.
 	ReportLag time.Duration
-	// CacheEventLag is the age at which a cache event is first shown. Default 500 ms.
+	// CacheEventLag is the age from which CacheEvents returns an event.
+	// Default 500 ms.
 	CacheEventLag time.Duration
-	// CacheEventLoss is the share of cache events that are never shown. Default 0.05.
+	// CacheEventLoss is the probability that a cache event is lost. Default 0.05;
+	// a negative value loses none.
 	CacheEventLoss float64
-	// OutputMedian and OutputSigma give the lognormal output length of requests
-	// that do not carry x_output_tokens. Defaults 64 and 1.
+	// OutputMedian and OutputSigma are the parameters of the lognormal output
+	// length, in tokens, of requests without x_output_tokens. Defaults 64 and 1.
 	OutputMedian float64
 	OutputSigma  float64
-	// IgnoreFence lets the engine accept orders with an old fencing number.
+	// IgnoreFence makes the server apply orders whose fencing number is lower
+	// than the highest one received.
 	IgnoreFence bool
-	// Seed fixes lengths, lost events and text.
+	// Seed seeds the output lengths, the loss of cache events and the output text.
 	Seed uint64
 }
 
-// withDefaults fills the zero fields.
+// withDefaults returns c with its zero fields set to their defaults.
 func (c Config) withDefaults() Config {
 	if c.Model == "" {
 		c.Model = "standin"
--- a/node/standin/doc.go
+++ b/node/standin/doc.go
@@ -1,7 +1,7 @@
-// Package standin is a small stand-in for a model engine. Engine is the pure
-// stepped core: continuous batching, block memory that can run out in the
-// middle of decoding and preempts with recompute, a prefix cache with eviction,
-// priorities, cache events that come late and with gaps, and load reports with
-// a lag. Measurements drive it in virtual time; Server serves the same core
-// over HTTP in wall time.
+// Package standin simulates a model engine. Engine is a deterministic simulation
+// that advances in steps and has no clock: it models continuous batching, KV cache
+// blocks that can run out during decoding, preemption with recomputation, a prefix
+// cache with eviction, priorities, cache events that are delayed and partly lost,
+// and delayed load reports. Benchmarks run Engine in virtual time; Server serves it
+// over HTTP in wall-clock time.
 package standin
--- a/node/standin/engine.go
+++ b/node/standin/engine.go
@@ -6,44 +6,51 @@
 	"time"
 )
 
-// Errors of Submit.
+// Errors returned by Submit.
 var (
-	// ErrNeverFits: the prompt and one token exceed the engine's memory.
+	// ErrNeverFits reports that the prompt and one output token need more blocks
+	// than the engine has.
 	ErrNeverFits = errors.New("standin: sequence can never fit")
-	// ErrDuplicate: a sequence of this ID is waiting or running.
+	// ErrDuplicate reports that a sequence with the same ID is waiting or running.
 	ErrDuplicate = errors.New("standin: duplicate sequence")
 )
 
-// Seq is one sequence to run.
+// Seq describes a sequence to run.
 type Seq struct {
 	ID string
-	// Prompt and Output are lengths in tokens; Output is what it will produce.
+	// Prompt and Output are lengths in tokens. The sequence ends after Output
+	// tokens; Submit raises an Output below 1 to 1.
 	Prompt int
 	Output int
-	// Prefix names the first PrefixTokens tokens of the prompt; zero for none.
+	// Prefix identifies the content of the first PrefixTokens tokens of the
+	// prompt. If PrefixTokens is less than one block, no prefix is cached.
 	Prefix       uint64
 	PrefixTokens int
-	// Priority: a lower value runs first and is preempted last.
+	// Priority orders the sequences: a lower value runs first and is preempted
+	// last.
 	Priority int
 }
 
-// Token is one token produced. Index counts from 0; Last ends the sequence.
+// Token is one output token. Index counts from 0; Last marks the last token of the
+// sequence.
 type Token struct {
 	ID    string
 	Index int
 	Last  bool
 }
 
-// Result is what one step did. Tokens come out at the step's end.
+// Result is the outcome of one step. Its tokens are available when the step ends.
 type Result struct {
-	// Took is the step's duration; zero when there was nothing to do.
+	// Took is the duration of the step, or 0 if no sequence was waiting or running.
 	Took   time.Duration
 	Tokens []Token
-	// Preempted lists sequences that lost their memory in this step.
+	// Preempted lists the sequences that lost their blocks in this step and wait
+	// to be recomputed.
 	Preempted []string
-	// Failed lists sequences that outgrew the whole memory.
+	// Failed lists the sequences that need more blocks than the engine has.
 	Failed []string
-	// Redone is the number of tokens computed again after preemption.
+	// Redone is the number of tokens computed in this step that count as
+	// recomputed after a preemption.
 	Redone int
 }
 
@@ -51,70 +58,78 @@
 type Load struct {
 	Running int `json:"running"`
 	Waiting int `json:"waiting"`
-	// Free counts tokens that are free or held only by idle prefixes.
+	// Free counts the tokens that fit in free blocks and in the blocks of
+	// cached prefixes without references.
 	Free        int       `json:"free"`
 	Capacity    int       `json:"capacity"`
 	Preemptions int       `json:"preemptions"`
 	At          time.Time `json:"at"`
 }
 
-// sequence is the engine's record of a Seq.
+// sequence is the state of a submitted Seq.
 type sequence struct {
 	Seq
-	order    uint64
-	produced int
-	// left is the number of tokens still to compute before the next token.
-	left int
-	// redo is the part of left that had been computed before a preemption.
-	redo int
-	// blocks are its own; shared is the prefix it holds, if any.
-	blocks int
-	shared *prefix
-	// creator is set while it computes shared for the first time.
-	creator bool
-	running bool
+	arrivalNumber uint64
+	produced      int
+	// pendingTokens is the number of tokens to prefill before the next output
+	// token.
+	pendingTokens int
+	// recomputeTokens is the number of pendingTokens that count as recomputed. A
+	// preemption sets it to the whole context, even if prefill was incomplete.
+	recomputeTokens int
+	// blocks counts the blocks of the sequence without those of sharedPrefix,
+	// which is nil if the sequence references no cached prefix.
+	blocks       int
+	sharedPrefix *cachedPrefix
+	// computesPrefix is set while the sequence computes sharedPrefix for the
+	// first time.
+	computesPrefix bool
+	running        bool
 }
 
-// before orders sequences: priority, then arrival.
+// before reports whether s precedes o: by priority, then by order of arrival.
 func (s *sequence) before(o *sequence) bool {
 	if s.Priority != o.Priority {
 		return s.Priority < o.Priority
 	}
-	return s.order < o.order
+	return s.arrivalNumber < o.arrivalNumber
 }
 
-// Engine is the stepped core. It is used from one goroutine at a time and has
-// no clock: the caller steps it and waits Result.Took between steps.
+// Engine is the simulation. It must not be used concurrently and has no clock: the
+// caller calls Step and lets Result.Took pass before the next call.
 type Engine struct {
-	cfg     Config
-	free    int
-	running []*sequence
-	waiting []*sequence
-	byID    map[string]*sequence
-	cache   *prefixCache
-	order   uint64
-	// context is the sum of the running sequences' tokens.
-	context     int
-	preemptions int
-	samples     []Load
-	res         Result
+	cfg        Config
+	freeBlocks int
+	running    []*sequence
+	waiting    []*sequence
+	byID       map[string]*sequence
+	cache      *prefixCache
+	// arrivalNumber is the number of the sequence submitted last.
+	arrivalNumber uint64
+	// contextTokens is the number of prompt and output tokens of all running
+	// sequences.
+	contextTokens int
+	preemptions   int
+	samples       []Load
+	res           Result
 }
 
-// NewEngine returns an idle engine.
+// NewEngine returns an engine without sequences.
 func NewEngine(cfg Config) *Engine {
 	cfg = cfg.withDefaults()
 	return &Engine{
-		cfg:   cfg,
-		free:  cfg.Blocks,
-		byID:  map[string]*sequence{},
-		cache: newPrefixCache(cfg.CacheEventLoss, cfg.Seed),
+		cfg:        cfg,
+		freeBlocks: cfg.Blocks,
+		byID:       map[string]*sequence{},
+		cache:      newPrefixCache(cfg.CacheEventLoss, cfg.Seed),
 	}
 }
 
-// Config returns the configuration with defaults filled in.
+// Config returns the configuration with its defaults set.
 func (e *Engine) Config() Config { return e.cfg }
 
-// Submit queues s.
+// Submit adds s to the waiting sequences. It rounds PrefixTokens down to whole
+// blocks within the prompt.
 func (e *Engine) Submit(s Seq) error {
 	if _, ok := e.byID[s.ID]; ok {
 		return ErrDuplicate
@@ -124,14 +139,15 @@
 	}
 	s.Output = max(s.Output, 1)
 	s.PrefixTokens = min(s.PrefixTokens, s.Prompt) / e.cfg.BlockTokens * e.cfg.BlockTokens
-	e.order++
-	q := &sequence{Seq: s, order: e.order}
+	e.arrivalNumber++
+	q := &sequence{Seq: s, arrivalNumber: e.arrivalNumber}
 	e.byID[s.ID] = q
 	e.enqueue(q)
 	return nil
 }
 
-// Cancel removes a sequence and frees its memory.
+// Cancel removes a sequence and frees its blocks. It reports whether the sequence
+// was waiting or running.
 func (e *Engine) Cancel(id string, now time.Time) bool {
 	s, ok := e.byID[id]
 	if !ok {
@@ -147,21 +163,21 @@
 	return true
 }
 
-// Step runs one iteration that begins at now. The result is valid until the
-// next call.
+// Step runs one iteration that begins at now. The result is valid until the next
+// call of Step.
 func (e *Engine) Step(now time.Time) *Result {
 	e.res = Result{Tokens: e.res.Tokens[:0], Preempted: e.res.Preempted[:0], Failed: e.res.Failed[:0]}
 	if len(e.byID) == 0 {
 		return &e.res
 	}
-	e.grow(now)
+	e.allocateDecodeBlocks(now)
 	if len(e.res.Preempted) == 0 {
 		e.admit(now)
 	}
 	budget := e.cfg.PrefillChunk
 	decoding := 0
 	for _, s := range e.running {
-		if s.left == 0 {
+		if s.pendingTokens == 0 {
 			decoding++
 			continue
 		}
@@ -169,32 +185,32 @@
 	}
 	e.res.Took = e.stepTime(decoding, e.cfg.PrefillChunk-budget)
 	e.emit(now)
-	e.sample(now.Add(e.res.Took))
+	e.recordSample(now.Add(e.res.Took))
 	return &e.res
 }
 
-// stepTime is the cost model.
+// stepTime returns the simulated duration of a step.
 func (e *Engine) stepTime(decoding, prefilled int) time.Duration {
 	return e.cfg.StepBase +
 		e.cfg.StepPerSeq*time.Duration(decoding) +
-		e.cfg.StepPerKTok*time.Duration(e.context)/1000 +
+		e.cfg.StepPerKTok*time.Duration(e.contextTokens)/1000 +
 		e.cfg.PrefillPerKTok*time.Duration(prefilled)/1000
 }
 
-// grow finds the block that each decoding sequence needs for its next token
-// and preempts where there is none.
-func (e *Engine) grow(now time.Time) {
+// allocateDecodeBlocks allocates the block that a decoding sequence needs for its
+// next token, and preempts sequences while no block is available.
+func (e *Engine) allocateDecodeBlocks(now time.Time) {
 	for i := 0; i < len(e.running); i++ {
 		s := e.running[i]
-		if s.left > 0 {
+		if s.pendingTokens > 0 {
 			continue
 		}
-		for s.running && e.blocksFor(e.own(s)+1) > s.blocks {
-			if e.take(1, now) {
+		for s.running && e.blocksFor(e.ownTokens(s)+1) > s.blocks {
+			if e.allocateBlocks(1, now) {
 				s.blocks++
 				continue
 			}
-			e.preemptWorst(now)
+			e.preemptLast(now)
 		}
 		if !s.running {
 			i--
@@ -202,31 +218,31 @@
 	}
 }
 
-// preemptWorst takes the memory of the sequence that comes last in order, as
-// engines do: the most recent one of the lowest priority. A sequence alone that
-// finds no block has outgrown the memory and fails.
-func (e *Engine) preemptWorst(now time.Time) {
-	worst := e.running[len(e.running)-1]
-	e.release(worst, now)
+// preemptLast preempts the running sequence that is last in order, as real engines
+// do: the most recent one of the lowest priority. If no other sequence is running,
+// the sequence needs more blocks than the engine has, and fails.
+func (e *Engine) preemptLast(now time.Time) {
+	victim := e.running[len(e.running)-1]
+	e.release(victim, now)
 	e.running = e.running[:len(e.running)-1]
 	if len(e.running) == 0 {
-		delete(e.byID, worst.ID)
-		e.res.Failed = append(e.res.Failed, worst.ID)
+		delete(e.byID, victim.ID)
+		e.res.Failed = append(e.res.Failed, victim.ID)
 		return
 	}
-	worst.redo = worst.Prompt + worst.produced
-	e.enqueue(worst)
+	victim.recomputeTokens = victim.Prompt + victim.produced
+	e.enqueue(victim)
 	e.preemptions++
-	e.res.Preempted = append(e.res.Preempted, worst.ID)
+	e.res.Preempted = append(e.res.Preempted, victim.ID)
 }
 
-// admit starts waiting sequences in order until one does not fit. One that does
-// not fit into an empty engine, having grown before it was preempted, never
-// will: it fails, or it would block the queue for good.
+// admit starts waiting sequences in order until one does not fit. If a sequence
+// does not fit while none is running, its context grew too large before it was
+// preempted. It can never fit and fails; otherwise it would block the queue forever.
 func (e *Engine) admit(now time.Time) {
 	for len(e.waiting) > 0 && len(e.running) < e.cfg.MaxSeqs {
 		s := e.waiting[0]
-		placed := e.place(s, now)
+		placed := e.allocateSequence(s, now)
 		if !placed && len(e.running) > 0 {
 			return
 		}
@@ -237,72 +253,74 @@
 			continue
 		}
 		s.running = true
-		e.context += s.Prompt + s.produced
+		e.contextTokens += s.Prompt + s.produced
 		i := sort.Search(len(e.running), func(i int) bool { return s.before(e.running[i]) })
 		e.running = insert(e.running, i, s)
 	}
 }
 
-// place allocates the blocks for all that s has to compute.
-func (e *Engine) place(s *sequence, now time.Time) bool {
+// allocateSequence allocates the blocks for the context of s and its next token, and
+// shares the cached prefix if it is ready. It reports whether there were enough
+// blocks.
+func (e *Engine) allocateSequence(s *sequence, now time.Time) bool {
 	total := s.Prompt + s.produced
 	p := e.cache.byHash[s.Prefix]
 	hit := s.PrefixTokens > 0 && p != nil && p.ready && p.blocks*e.cfg.BlockTokens <= s.PrefixTokens
 	if hit {
-		e.cache.hold(p, now)
+		e.cache.addRef(p, now)
 	}
 	need := e.blocksFor(total + 1)
 	if hit {
 		need -= p.blocks
 	}
-	spare := 0
+	reserve := 0
 	if len(e.running) > 0 {
-		spare = e.cfg.Watermark
+		reserve = e.cfg.Watermark
 	}
-	if !e.take(need+spare, now) {
+	if !e.allocateBlocks(need+reserve, now) {
 		if hit {
-			e.free += e.cache.drop(p, now)
+			e.freeBlocks += e.cache.removeRef(p, now)
 		}
 		return false
 	}
-	e.free += spare
-	s.left = total
+	e.freeBlocks += reserve
+	s.pendingTokens = total
 	s.blocks = need
 	switch {
 	case hit:
-		s.shared = p
-		s.left -= p.blocks * e.cfg.BlockTokens
+		s.sharedPrefix = p
+		s.pendingTokens -= p.blocks * e.cfg.BlockTokens
 	case s.PrefixTokens > 0 && p == nil:
-		s.shared = e.cache.add(s.Prefix, s.PrefixTokens/e.cfg.BlockTokens, now)
-		s.creator = true
-		s.blocks -= s.shared.blocks
+		s.sharedPrefix = e.cache.add(s.Prefix, s.PrefixTokens/e.cfg.BlockTokens, now)
+		s.computesPrefix = true
+		s.blocks -= s.sharedPrefix.blocks
 	}
-	// A prompt that is wholly cached still computes its last token.
-	s.left = max(s.left, 1)
-	s.redo = min(s.redo, s.left)
+	// Even if the whole prompt is cached, its last token must be computed.
+	s.pendingTokens = max(s.pendingTokens, 1)
+	s.recomputeTokens = min(s.recomputeTokens, s.pendingTokens)
 	return true
 }
 
-// prefill computes up to budget tokens of s and returns how many.
+// prefill computes up to budget pending tokens of s and returns their number.
 func (e *Engine) prefill(s *sequence, budget int, now time.Time) int {
-	n := min(s.left, budget)
-	s.left -= n
-	redone := min(s.redo, n)
-	s.redo -= redone
+	n := min(s.pendingTokens, budget)
+	s.pendingTokens -= n
+	redone := min(s.recomputeTokens, n)
+	s.recomputeTokens -= redone
 	e.res.Redone += redone
-	if s.left == 0 && s.creator {
-		s.creator = false
-		e.cache.complete(s.shared, e.cfg.BlockTokens, now)
+	if s.pendingTokens == 0 && s.computesPrefix {
+		s.computesPrefix = false
+		e.cache.markReady(s.sharedPrefix, e.cfg.BlockTokens, now)
 	}
 	return n
 }
 
-// emit produces one token for every sequence that has nothing left to compute
-// and retires those that are done.
+// emit produces one token for every running sequence without pending tokens and
+// removes the sequences that are complete.
 func (e *Engine) emit(now time.Time) {
 	kept := e.running[:0]
 	for _, s := range e.running {
-		if s.left > 0 {
+		if s.pendingTokens > 0 {
 			kept = append(kept, s)
 			continue
 		}
@@ -314,40 +332,41 @@
 			continue
 		}
 		s.produced++
-		e.context++
+		e.contextTokens++
 		kept = append(kept, s)
 	}
 	clear(e.running[len(kept):])
 	e.running = kept
 }
 
-// take removes n blocks from the free ones, evicting idle prefixes as needed.
-func (e *Engine) take(n int, now time.Time) bool {
-	if e.free+e.cache.idle < n {
+// allocateBlocks takes n blocks from the free ones and evicts cached prefixes as
+// needed. It reports false, and changes nothing, if there are not enough blocks.
+func (e *Engine) allocateBlocks(n int, now time.Time) bool {
+	if e.freeBlocks+e.cache.idleBlocks < n {
 		return false
 	}
-	for e.free < n {
-		e.free += e.cache.evict(e.cfg.BlockTokens, now)
+	for e.freeBlocks < n {
+		e.freeBlocks += e.cache.evict(e.cfg.BlockTokens, now)
 	}
-	e.free -= n
+	e.freeBlocks -= n
 	return true
 }
 
-// release frees what s holds.
+// release frees the blocks of s and its reference to a cached prefix.
 func (e *Engine) release(s *sequence, now time.Time) {
-	e.free += s.blocks
-	e.context -= s.Prompt + s.produced
-	if s.shared != nil {
-		e.free += e.cache.drop(s.shared, now)
+	e.freeBlocks += s.blocks
+	e.contextTokens -= s.Prompt + s.produced
+	if s.sharedPrefix != nil {
+		e.freeBlocks += e.cache.removeRef(s.sharedPrefix, now)
 	}
-	s.blocks, s.shared, s.creator, s.running, s.left = 0, nil, false, false, 0
+	s.blocks, s.sharedPrefix, s.computesPrefix, s.running, s.pendingTokens = 0, nil, false, false, 0
 }
 
-// own is the number of tokens that s keeps in its own blocks.
-func (e *Engine) own(s *sequence) int {
+// ownTokens returns the number of tokens of s that are kept in its own blocks.
+func (e *Engine) ownTokens(s *sequence) int {
 	n := s.Prompt + s.produced
-	if s.shared != nil {
-		n -= s.shared.blocks * e.cfg.BlockTokens
+	if s.sharedPrefix != nil {
+		n -= s.sharedPrefix.blocks * e.cfg.BlockTokens
 	}
 	return n
 }
--- a/node/standin/engine_test.go
+++ b/node/standin/engine_test.go
@@ -11,9 +11,9 @@
 
 var epoch = time.Unix(1_000_000, 0)
 
-// drive steps e until it is idle and returns what each sequence produced, the
-// order of ends and the preempted ones.
-func drive(t *testing.T, e *Engine, now time.Time) (tokens map[string]int, ends, preempted []string) {
+// runUntilIdle steps e until no sequence is left. It returns the number of tokens of
+// each sequence, and the IDs in the order of completion and of preemption.
+func runUntilIdle(t *testing.T, e *Engine, now time.Time) (tokens map[string]int, ends, preempted []string) {
 	t.Helper()
 	tokens = map[string]int{}
 	for range 100_000 {
@@ -36,32 +36,33 @@
 	return nil, nil, nil
 }
 
-// checkMemory asserts that every block is free, owned once, or cached.
+// checkMemory asserts that every block is free, owned by one running sequence, or
+// part of a cached prefix.
 func checkMemory(t *testing.T, e *Engine) {
 	t.Helper()
-	sum, idle := e.free, 0
+	sum, idleBlocks := e.freeBlocks, 0
 	for _, s := range e.running {
 		sum += s.blocks
-		qt.Assert(t, s.blocks >= e.blocksFor(e.own(s)), qt.IsTrue)
+		qt.Assert(t, s.blocks >= e.blocksFor(e.ownTokens(s)), qt.IsTrue)
 	}
 	for _, p := range e.cache.byHash {
 		sum += p.blocks
 		if p.refs == 0 {
-			idle += p.blocks
+			idleBlocks += p.blocks
 		}
 	}
 	qt.Assert(t, sum, qt.Equals, e.cfg.Blocks)
-	qt.Assert(t, idle, qt.Equals, e.cache.idle)
+	qt.Assert(t, idleBlocks, qt.Equals, e.cache.idleBlocks)
 }
 
-// TestPreemptedMidDecode: two sequences start in memory that holds both
-// prompts but not both answers. The later one loses its memory half-way, is
-// computed again and goes on with its next token: none is lost or repeated.
+// TestPreemptedMidDecode starts two sequences in memory that holds both prompts but
+// not both outputs. The later sequence is preempted during decoding, recomputed, and
+// continues with its next token; no token may be lost or repeated.
 func TestPreemptedMidDecode(t *testing.T) {
 	e := NewEngine(Config{Blocks: 10, Watermark: 1})
 	qt.Assert(t, e.Submit(Seq{ID: "a", Prompt: 16, Output: 80}), qt.IsNil)
 	qt.Assert(t, e.Submit(Seq{ID: "b", Prompt: 16, Output: 80}), qt.IsNil)
-	tokens, ends, preempted := drive(t, e, epoch)
+	tokens, ends, preempted := runUntilIdle(t, e, epoch)
 	qt.Check(t, tokens, qt.DeepEquals, map[string]int{"a": 80, "b": 80})
 	qt.Check(t, ends, qt.DeepEquals, []string{"a", "b"})
 	qt.Check(t, preempted, qt.DeepEquals, []string{"b"})
@@ -71,7 +72,7 @@
 	e := NewEngine(Config{Blocks: 8, Watermark: 1})
 	qt.Assert(t, e.Submit(Seq{ID: "low", Prompt: 60, Output: 20, Priority: 1}), qt.IsNil)
 	qt.Assert(t, e.Submit(Seq{ID: "high", Prompt: 60, Output: 20}), qt.IsNil)
-	_, ends, _ := drive(t, e, epoch)
+	_, ends, _ := runUntilIdle(t, e, epoch)
 	qt.Check(t, ends, qt.DeepEquals, []string{"high", "low"})
 }
 
@@ -80,24 +81,24 @@
 	qt.Check(t, e.Submit(Seq{ID: "big", Prompt: 100, Output: 1}), qt.Equals, ErrNeverFits)
 	qt.Assert(t, e.Submit(Seq{ID: "a", Prompt: 16, Output: 200}), qt.IsNil)
 	qt.Check(t, e.Submit(Seq{ID: "a", Prompt: 16, Output: 1}), qt.Equals, ErrDuplicate)
-	tokens, ends, _ := drive(t, e, epoch)
-	// Four blocks of 16 hold the prompt and 48 tokens.
+	tokens, ends, _ := runUntilIdle(t, e, epoch)
+	// Four blocks of 16 tokens hold the prompt and 48 output tokens.
 	qt.Check(t, tokens["a"], qt.Equals, 48)
 	qt.Check(t, ends, qt.HasLen, 0)
 }
 
-// TestPrefixCache: the second prompt skips the part that the first computed,
-// and events of the cache are shown late.
+// TestPrefixCache checks that the second prompt does not compute the prefix that the
+// first one has computed, and that cache events are returned with a delay.
 func TestPrefixCache(t *testing.T) {
 	e := NewEngine(Config{CacheEventLoss: -1})
 	now := epoch
-	took := func(id string) time.Duration {
+	submitAndStep := func(id string) time.Duration {
 		qt.Assert(t, e.Submit(Seq{ID: id, Prompt: 1000, Output: 1, Prefix: 9, PrefixTokens: 960}), qt.IsNil)
 		d := e.Step(now).Took
 		now = now.Add(d)
 		return d
 	}
-	first, second := took("a"), took("b")
+	first, second := submitAndStep("a"), submitAndStep("b")
 	qt.Check(t, first-second, qt.Equals, 960*e.cfg.PrefillPerKTok/1000)
 	qt.Check(t, e.CacheEvents(0, epoch), qt.HasLen, 0)
 	events := e.CacheEvents(0, epoch.Add(e.cfg.CacheEventLag))
@@ -121,8 +122,9 @@
 	qt.Check(t, e.Report(now).Running, qt.Equals, 1)
 }
 
-// TestRandomRuns mixes submits and cancels over scarce memory: every sequence
-// left alone ends whole, and the memory always adds up.
+// TestRandomRuns mixes submissions and cancellations while blocks are scarce. Every
+// sequence that is not canceled must produce its whole output, and every block must
+// be accounted for.
 func TestRandomRuns(t *testing.T) {
 	for seed := range uint64(20) {
 		rng := rand.New(rand.NewPCG(seed, 1))
@@ -146,10 +148,10 @@
 				checkMemory(t, e)
 			}
 		}
-		left := map[string]int{}
+		remaining := map[string]int{}
 		for id := range want {
 			if s, ok := e.byID[id]; ok {
-				left[id] = want[id] - s.produced
+				remaining[id] = want[id] - s.produced
 			}
 		}
 		ended := map[string]int{}
@@ -161,6 +163,6 @@
 				ended[tok.ID]++
 			}
 		}
-		qt.Assert(t, ended, qt.DeepEquals, left)
+		qt.Assert(t, ended, qt.DeepEquals, remaining)
 	}
 }
--- a/node/standin/http.go
+++ b/node/standin/http.go
@@ -11,10 +11,10 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// maxBody bounds a request body in bytes.
-const maxBody = 8 << 20
+// maxBodyBytes limits the size of a request body.
+const maxBodyBytes = 8 << 20
 
-// prefixWords is the number of leading words that name a prompt's prefix.
+// prefixWords is the number of leading words of a prompt that form its prefix.
 const prefixWords = 64
 
 // message is one chat message.
@@ -23,7 +23,7 @@
 	Content string `json:"content"`
 }
 
-// genRequest is the part of a completion request that the stand-in reads.
+// genRequest holds the fields of a completion request that the server reads.
 type genRequest struct {
 	Model         string    `json:"model"`
 	Messages      []message `json:"messages"`
@@ -35,7 +35,7 @@
 	StreamOptions struct {
 		IncludeUsage bool `json:"include_usage"`
 	} `json:"stream_options"`
-	// OutputTokens is a field of the stand-in only: the answer's length.
+	// OutputTokens is the output length. The field is specific to this package.
 	OutputTokens int `json:"x_output_tokens"`
 }
 
@@ -45,21 +45,21 @@
 	Total      int `json:"total_tokens"`
 }
 
-// job is one request being answered.
+// job is the state of one generation request.
 type job struct {
 	req    genRequest
 	chat   bool
 	prompt string
-	// nth counts the server's generation requests from 1.
-	nth    int
-	id     string
-	prefix uint64
-	input  int
-	output int
-	finish string
-	tokens <-chan int
-	// since is when it was created, in Unix seconds.
-	since int64
+	// requestNumber counts the generation requests of the server from 1.
+	requestNumber int
+	id            string
+	prefixHash    uint64
+	promptTokens  int
+	outputTokens  int
+	finishReason  string
+	tokens        <-chan int
+	// createdAt is the time at which the request arrived, in Unix seconds.
+	createdAt int64
 }
 
 func (s *Server) handler() http.Handler {
@@ -85,35 +85,36 @@
 		return
 	}
 	defer s.cancel(j.id)
-	if j.nth == s.opt.Faults.CutAtRequest {
+	if j.requestNumber == s.opt.Faults.CutAtRequest {
 		panic(http.ErrAbortHandler)
 	}
 	if j.req.Stream {
-		s.stream(w, r, j)
+		s.streamCompletion(w, r, j)
 		return
 	}
-	s.whole(w, r, j)
+	s.writeCompletion(w, r, j)
 }
 
-// newJob reads a request and gives it its number.
+// newJob decodes a generation request and assigns its number. It rejects, without
+// a number, a request that is malformed or names a model that is not loaded.
 func (s *Server) newJob(w http.ResponseWriter, r *http.Request, chat bool) (*job, error) {
-	j := &job{chat: chat, finish: "stop", since: time.Now().Unix()}
-	if err := json.NewDecoder(http.MaxBytesReader(w, r.Body, maxBody)).Decode(&j.req); err != nil {
+	j := &job{chat: chat, finishReason: "stop", createdAt: time.Now().Unix()}
+	if err := json.NewDecoder(http.MaxBytesReader(w, r.Body, maxBodyBytes)).Decode(&j.req); err != nil {
 		return nil, err
 	}
 	j.prompt = j.req.Prompt
 	if chat {
 		j.prompt = joinMessages(j.req.Messages)
 	}
-	j.input = PromptTokens(j.prompt)
-	j.prefix = PrefixHash(j.prompt)
-	j.output = j.req.OutputTokens
-	if j.output <= 0 {
-		j.output = s.cfg.Outputs(j.prompt)
+	j.promptTokens = PromptTokens(j.prompt)
+	j.prefixHash = PrefixHash(j.prompt)
+	j.outputTokens = j.req.OutputTokens
+	if j.outputTokens <= 0 {
+		j.outputTokens = s.cfg.Outputs(j.prompt)
 	}
 	limit := max(j.req.MaxTokens, j.req.MaxCompletion)
-	if limit > 0 && j.output > limit {
-		j.output, j.finish = limit, "length"
+	if limit > 0 && j.outputTokens > limit {
+		j.outputTokens, j.finishReason = limit, "length"
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -121,28 +122,31 @@
 		return nil, fmt.Errorf("model %q is not loaded", j.req.Model)
 	}
 	s.requests++
-	j.nth = s.requests
-	j.id = "gen-" + strconv.Itoa(j.nth)
+	j.requestNumber = s.requests
+	j.id = "gen-" + strconv.Itoa(j.requestNumber)
 	return j, nil
 }
 
 func (j *job) seq() Seq {
-	q := Seq{ID: j.id, Prompt: j.input, Output: j.output, Priority: j.req.Priority}
-	if j.prefix != 0 {
-		q.Prefix, q.PrefixTokens = j.prefix, prefixWords
+	q := Seq{ID: j.id, Prompt: j.promptTokens, Output: j.outputTokens, Priority: j.req.Priority}
+	if j.prefixHash != 0 {
+		q.Prefix, q.PrefixTokens = j.prefixHash, prefixWords
 	}
 	return q
 }
 
-// next waits for the next token; more is false at the end. It brings about the
-// faults that depend on the number of tokens sent.
-func (s *Server) next(r *http.Request, j *job, sent int) (index int, more bool) {
+// nextToken waits for the next token and returns its index; more is false after the
+// last one. It injects the faults that depend on the number of tokens sent. It
+// aborts the connection by a panic with http.ErrAbortHandler on such a fault, when
+// the engine failed the sequence, and when the client disconnects or the server
+// closes.
+func (s *Server) nextToken(r *http.Request, j *job, sent int) (index int, more bool) {
 	f := s.opt.Faults
-	if j.nth == f.DieAtRequest && sent == f.DieAfterTokens {
+	if j.requestNumber == f.DieAtRequest && sent == f.DieAfterTokens {
 		s.die()
 		panic(http.ErrAbortHandler)
 	}
-	if j.nth == f.StallAtRequest && sent == f.StallAfterTokens {
+	if j.requestNumber == f.StallAtRequest && sent == f.StallAfterTokens {
 		select {
 		case <-r.Context().Done():
 		case <-s.done:
@@ -151,7 +155,7 @@
 	}
 	select {
 	case i, ok := <-j.tokens:
-		if !ok && sent < j.output {
+		if !ok && sent < j.outputTokens {
 			panic(http.ErrAbortHandler)
 		}
 		return i, ok
@@ -161,18 +165,18 @@
 	panic(http.ErrAbortHandler)
 }
 
-func (s *Server) whole(w http.ResponseWriter, r *http.Request, j *job) {
+func (s *Server) writeCompletion(w http.ResponseWriter, r *http.Request, j *job) {
 	var text strings.Builder
 	n := 0
 	for {
-		i, more := s.next(r, j, n)
+		i, more := s.nextToken(r, j, n)
 		if !more {
 			break
 		}
 		text.WriteString(s.cfg.Word(j.prompt, i))
 		n++
 	}
-	choice := map[string]any{"index": 0, "finish_reason": j.finish}
+	choice := map[string]any{"index": 0, "finish_reason": j.finishReason}
 	object := "text_completion"
 	if j.chat {
 		object = "chat.completion"
@@ -180,35 +184,35 @@
 	} else {
 		choice["text"] = text.String()
 	}
-	body := j.envelope(object, []any{choice})
+	body := j.responseBody(object, []any{choice})
 	body["usage"] = j.usage(n)
 	writeJSON(w, http.StatusOK, body)
 }
 
-func (s *Server) stream(w http.ResponseWriter, r *http.Request, j *job) {
+func (s *Server) streamCompletion(w http.ResponseWriter, r *http.Request, j *job) {
 	w.Header().Set("Content-Type", "text/event-stream")
 	w.Header().Set("Cache-Control", "no-cache")
 	w.WriteHeader(http.StatusOK)
-	flush := http.NewResponseController(w)
-	_ = flush.Flush()
+	controller := http.NewResponseController(w)
+	_ = controller.Flush()
 	n := 0
 	for {
-		i, more := s.next(r, j, n)
+		i, more := s.nextToken(r, j, n)
 		if !more {
 			break
 		}
 		writeEvent(w, j.chunk(s.cfg.Word(j.prompt, i), n == 0, nil))
-		_ = flush.Flush()
+		_ = controller.Flush()
 		n++
 	}
-	writeEvent(w, j.chunk("", false, &j.finish))
+	writeEvent(w, j.chunk("", false, &j.finishReason))
 	if j.req.StreamOptions.IncludeUsage {
-		last := j.envelope(j.chunkObject(), []any{})
+		last := j.responseBody(j.chunkObject(), []any{})
 		last["usage"] = j.usage(n)
 		writeEvent(w, last)
 	}
 	_, _ = w.Write([]byte("data: [DONE]\n\n"))
-	_ = flush.Flush()
+	_ = controller.Flush()
 }
 
 func (j *job) chunkObject() string {
@@ -218,12 +222,13 @@
 	return "text_completion"
 }
 
-// chunk is one SSE chunk; finish is nil but in the last one.
+// chunk returns one SSE chunk. finish is nil except in the chunk that ends the
+// choice.
 func (j *job) chunk(text string, first bool, finish *string) map[string]any {
 	choice := map[string]any{"index": 0, "finish_reason": finish}
 	if !j.chat {
 		choice["text"] = text
-		return j.envelope(j.chunkObject(), []any{choice})
+		return j.responseBody(j.chunkObject(), []any{choice})
 	}
 	delta := map[string]any{}
 	if first {
@@ -233,15 +238,15 @@
 		delta["content"] = text
 	}
 	choice["delta"] = delta
-	return j.envelope(j.chunkObject(), []any{choice})
+	return j.responseBody(j.chunkObject(), []any{choice})
 }
 
-func (j *job) envelope(object string, choices []any) map[string]any {
-	return map[string]any{"id": j.id, "object": object, "created": j.since, "model": j.req.Model, "choices": choices}
+func (j *job) responseBody(object string, choices []any) map[string]any {
+	return map[string]any{"id": j.id, "object": object, "created": j.createdAt, "model": j.req.Model, "choices": choices}
 }
 
 func (j *job) usage(n int) usage {
-	return usage{Prompt: j.input, Completion: n, Total: j.input + n}
+	return usage{Prompt: j.promptTokens, Completion: n, Total: j.promptTokens + n}
 }
 
 func (s *Server) getModels(w http.ResponseWriter, _ *http.Request) {
@@ -260,7 +265,8 @@
 	writeJSON(w, http.StatusOK, s.engine.Report(time.Now()))
 }
 
-// getCacheEvents answers the events after the query's "after".
+// getCacheEvents returns the cache events with a number above the query parameter
+// "after".
 func (s *Server) getCacheEvents(w http.ResponseWriter, r *http.Request) {
 	after, _ := strconv.ParseUint(r.URL.Query().Get("after"), 10, 64)
 	s.mu.Lock()
@@ -272,8 +278,9 @@
 	writeJSON(w, http.StatusOK, map[string]any{"events": events})
 }
 
-// PrefixHash names the first words of a prompt as cache events do. It is zero
-// for a prompt too short to be cached.
+// PrefixHash returns the hash that identifies the prefix of prompt in cache events:
+// that of its first 64 words, up to the white space after them. It is 0, and the
+// prefix is not cached, if no white space follows a 64th word.
 func PrefixHash(prompt string) uint64 {
 	end, words, in := 0, 0, false
 	for i, c := range prompt {
--- a/node/standin/orders.go
+++ b/node/standin/orders.go
@@ -7,35 +7,37 @@
 
 // Order is the body of POST /orders.
 type Order struct {
-	// Fence must not be lower than the highest one seen, unless the engine
-	// ignores fences.
+	// Fence is the fencing number. An order with a lower number than the highest
+	// one received is rejected unless Config.IgnoreFence is set.
 	Fence uint64 `json:"fence"`
 	// Action is "load_model", "load_adapter", "load_version", "set_role" or
-	// an unload of the first three.
+	// the unload counterpart of one of the first three. Orders about adapters
+	// and versions are only recorded.
 	Action string `json:"action"`
-	// Value names the model, adapter, version or role.
+	// Value is the name of the model, adapter, version or role.
 	Value string `json:"value"`
 }
 
-// orderBook is what orders have changed.
-type orderBook struct {
-	ignore  bool
-	fence   uint64
-	loaded  map[string]bool
-	role    string
-	applied []Order
+// orderState is the state that orders change.
+type orderState struct {
+	ignoreFence  bool
+	highestFence uint64
+	loaded       map[string]bool
+	role         string
+	applied      []Order
 }
 
-func newOrderBook(cfg Config) orderBook {
-	return orderBook{ignore: cfg.IgnoreFence, loaded: map[string]bool{cfg.Model: true}, role: "serve"}
+func newOrderState(cfg Config) orderState {
+	return orderState{ignoreFence: cfg.IgnoreFence, loaded: map[string]bool{cfg.Model: true}, role: "serve"}
 }
 
-// apply carries o out; false means that its fence is old.
-func (b *orderBook) apply(o Order) bool {
-	if !b.ignore && o.Fence < b.fence {
+// apply applies and records o. It returns false, and changes nothing, if the fencing
+// number of o is too low.
+func (b *orderState) apply(o Order) bool {
+	if !b.ignoreFence && o.Fence < b.highestFence {
 		return false
 	}
-	b.fence = max(b.fence, o.Fence)
+	b.highestFence = max(b.highestFence, o.Fence)
 	b.applied = append(b.applied, o)
 	switch o.Action {
 	case "load_model":
@@ -48,7 +50,7 @@
 	return true
 }
 
-// Orders returns the orders applied so far, in order.
+// Orders returns the applied orders in the order of their arrival.
 func (s *Server) Orders() []Order {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -57,17 +59,17 @@
 
 func (s *Server) postOrder(w http.ResponseWriter, r *http.Request) {
 	var o Order
-	if err := json.NewDecoder(http.MaxBytesReader(w, r.Body, maxBody)).Decode(&o); err != nil {
+	if err := json.NewDecoder(http.MaxBytesReader(w, r.Body, maxBodyBytes)).Decode(&o); err != nil {
 		writeError(w, http.StatusBadRequest, err.Error())
 		return
 	}
 	s.mu.Lock()
 	ok := s.orders.apply(o)
-	fence := s.orders.fence
+	highestFence := s.orders.highestFence
 	s.mu.Unlock()
 	status := http.StatusOK
 	if !ok {
 		status = http.StatusConflict
 	}
-	writeJSON(w, status, map[string]any{"applied": ok, "fence": fence})
+	writeJSON(w, status, map[string]any{"applied": ok, "fence": highestFence})
 }
--- a/node/standin/server.go
+++ b/node/standin/server.go
@@ -15,33 +15,36 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Options are the parts of a Server that concern wall time and faults.
+// Options are the settings of a Server that do not concern its Engine.
 type Options struct {
-	// Speed divides every step's time; zero means 1.
+	// Speed is the factor by which steps run faster than simulated. Default 1.
 	Speed float64
-	// Faults to bring about; the zero value brings none.
+	// Faults are the faults to inject; the zero value injects none.
 	Faults Faults
 }
 
-// Faults are switches for tests. Generation requests are counted from 1.
+// Faults selects the faults that a Server injects, for tests. Generation requests
+// are counted from 1; requests that are malformed or name a model that is not
+// loaded are not counted.
 type Faults struct {
-	// DieAtRequest and DieAfterTokens: when the DieAtRequest-th request has
-	// sent DieAfterTokens tokens, every connection is cut and the server
-	// answers nothing more.
+	// DieAtRequest and DieAfterTokens make the server close all connections for
+	// good, and answer nothing more, when request number DieAtRequest has sent
+	// DieAfterTokens tokens.
 	DieAtRequest   int
 	DieAfterTokens int
-	// StallAtRequest and StallAfterTokens: the StallAtRequest-th request
-	// sends nothing after StallAfterTokens tokens, and holds its connection
-	// until the caller leaves or the server closes.
+	// StallAtRequest and StallAfterTokens make request number StallAtRequest send
+	// nothing more after StallAfterTokens tokens. Its connection stays open until
+	// the client disconnects or the server closes.
 	StallAtRequest   int
 	StallAfterTokens int
-	// CutAtRequest: the connection of the CutAtRequest-th request is closed
-	// after the request was read and submitted, before any byte is answered.
+	// CutAtRequest makes the server close the connection of request number
+	// CutAtRequest after it has read and submitted the request, before it sends
+	// any byte of the response.
 	CutAtRequest int
 }
 
-// Server serves an Engine over HTTP in wall time. It uses net/http because a
-// handler there learns at once that its caller has gone.
+// Server serves an Engine over HTTP in wall-clock time. It uses net/http because
+// net/http cancels the context of a request as soon as the client disconnects.
 type Server struct {
 	opt  Options
 	cfg  Config
@@ -50,7 +53,7 @@
 	mu      sync.Mutex
 	engine  *Engine
 	streams map[string]chan int
-	orders  orderBook
+	orders  orderState
 	wake    chan struct{}
 
 	requests int
@@ -59,7 +62,7 @@
 	dead     bool
 }
 
-// NewServer returns a server that is not yet serving.
+// NewServer returns a server; Serve starts it.
 func NewServer(cfg Config, opt Options) *Server {
 	if opt.Speed <= 0 {
 		opt.Speed = 1
@@ -71,7 +74,7 @@
 		wake:    make(chan struct{}, 1),
 	}
 	s.cfg = s.engine.Config()
-	s.orders = newOrderBook(s.cfg)
+	s.orders = newOrderState(s.cfg)
 	ctx, cancel := context.WithCancel(context.Background())
 	s.stop = cancel
 	s.done = ctx.Done()
@@ -79,7 +82,8 @@
 	return s
 }
 
-// Serve runs the engine and answers on ln until Close. It returns nil after Close.
+// Serve runs the engine and handles requests on ln until Close is called or the
+// fault of DieAtRequest occurs. It returns nil in both cases.
 func (s *Server) Serve(ln net.Listener) error {
 	var wg sync.WaitGroup
 	wg.Go(s.loop)
@@ -92,20 +96,22 @@
 	return err
 }
 
-// Close cuts every connection and stops the engine.
+// Close closes all connections and stops the engine.
 func (s *Server) Close() error {
 	s.stop()
 	return s.http.Close()
 }
 
-// Requests counts the generation requests read so far.
+// Requests returns the number of generation requests counted so far, as described
+// at Faults.
 func (s *Server) Requests() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.requests
 }
 
-// loop steps the engine, waits for the step's time and hands the tokens out.
+// loop runs the steps of the engine, waits for the duration of each step and
+// delivers its tokens.
 func (s *Server) loop() {
 	timer := time.NewTimer(0)
 	defer timer.Stop()
@@ -114,7 +120,7 @@
 		res := s.engine.Step(time.Now())
 		s.mu.Unlock()
 		if res.Took == 0 {
-			if !s.waitWork() {
+			if !s.waitForWork() {
 				return
 			}
 			continue
@@ -129,8 +135,9 @@
 	}
 }
 
-// waitWork blocks until a request is submitted; it is false when closing.
-func (s *Server) waitWork() bool {
+// waitForWork blocks until a sequence is submitted. It returns false when the server
+// closes.
+func (s *Server) waitForWork() bool {
 	select {
 	case <-s.done:
 		return false
@@ -139,8 +146,8 @@
 	}
 }
 
-// deliver hands a step's tokens to their handlers. A stream's channel holds its
-// whole output, so it never blocks.
+// deliver sends the tokens of a step to their request handlers. The send never
+// blocks, because the channel of a request has room for its whole output.
 func (s *Server) deliver(res *Result) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -163,8 +170,9 @@
 	}
 }
 
-// submit queues a sequence and returns its token indexes; the channel is closed
-// at the end, early when the engine failed it.
+// submit adds a sequence to the engine and returns the channel of its token indexes.
+// The channel is closed after the last token, or early if the engine fails the
+// sequence.
 func (s *Server) submit(q Seq) (<-chan int, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -180,7 +188,8 @@
 	return ch, nil
 }
 
-// cancel withdraws a sequence whose caller has gone.
+// cancel removes a sequence when its request handler returns. It has no effect on a
+// sequence that is complete.
 func (s *Server) cancel(id string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -188,18 +197,19 @@
 	delete(s.streams, id)
 }
 
-// die cuts every connection for good.
+// die closes all connections and stops the engine for good.
 func (s *Server) die() {
 	s.mu.Lock()
 	s.dead = true
 	s.mu.Unlock()
 	s.stop()
-	// The handler that calls die must not wait for itself.
+	// Close runs in its own goroutine so that the handler that calls die does not
+	// wait for it.
 	go s.http.Close()
 }
 
-// Outputs returns the output length of a request that carries no
-// x_output_tokens: lognormal, fixed by the seed and the prompt.
+// Outputs returns the output length of a request without x_output_tokens. The length
+// is lognormal and determined by Seed and the prompt.
 func (c Config) Outputs(prompt string) int {
 	c = c.withDefaults()
 	rng := rand.New(rand.NewPCG(c.Seed, xxhash.Sum64String(prompt)))
@@ -207,15 +217,15 @@
 	return max(1, int(n))
 }
 
-// Word is the text of token i of the answer to prompt: "w0-1a2b ", where the
-// hexadecimal part is fixed by the seed and the prompt, so that a test can tell
-// a token of another answer from its own.
+// Word returns the text of output token i for prompt, such as "w0-1a2b ". The
+// hexadecimal part is determined by Seed and the prompt, so that a test can detect
+// a token that belongs to another request.
 func (c Config) Word(prompt string, i int) string {
 	tag := uint16(xxhash.Sum64String(prompt) ^ c.Seed)
 	return "w" + strconv.Itoa(i) + "-" + strconv.FormatUint(uint64(tag), 16) + " "
 }
 
-// Answer is the whole text of n tokens for prompt.
+// Answer returns the text of the first n output tokens for prompt.
 func (c Config) Answer(prompt string, n int) string {
 	var b strings.Builder
 	for i := range n {
@@ -224,5 +234,6 @@
 	return b.String()
 }
 
-// PromptTokens counts a prompt's tokens: its words, at least one.
+// PromptTokens returns the length of prompt in tokens: the number of its words, at
+// least 1.
 func PromptTokens(prompt string) int { return max(1, len(strings.Fields(prompt))) }
--- a/node/standin/server_test.go
+++ b/node/standin/server_test.go
@@ -13,8 +13,9 @@
 	qt "github.com/frankban/quicktest"
 )
 
-// start serves cfg on loopback for the test's duration and returns its URL.
-func start(t *testing.T, cfg Config, f Faults) (*Server, string) {
+// startServer serves cfg on the loopback interface until the test ends. It returns
+// the server and its URL.
+func startServer(t *testing.T, cfg Config, f Faults) (*Server, string) {
 	t.Helper()
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	qt.Assert(t, err, qt.IsNil)
@@ -39,11 +40,11 @@
 	return resp.StatusCode, string(data), err
 }
 
-const chat = `{"model":"standin","messages":[{"role":"user","content":"a note"}],"x_output_tokens":5`
+const chatRequest = `{"model":"standin","messages":[{"role":"user","content":"a note"}],"x_output_tokens":5`
 
 func TestWholeAnswer(t *testing.T) {
-	s, url := start(t, Config{Seed: 7}, Faults{})
-	status, body, err := post(t, url+"/v1/chat/completions", chat+`}`)
+	s, url := startServer(t, Config{Seed: 7}, Faults{})
+	status, body, err := post(t, url+"/v1/chat/completions", chatRequest+`}`)
 	qt.Assert(t, err, qt.IsNil)
 	qt.Assert(t, status, qt.Equals, 200)
 	var got struct {
@@ -62,8 +63,8 @@
 func TestStreamedAnswer(t *testing.T) {
 	for _, path := range []string{"/v1/chat/completions", "/v1/completions"} {
 		t.Run(path, func(t *testing.T) {
-			s, url := start(t, Config{Seed: 7}, Faults{})
-			_, body, err := post(t, url+path, chat+`,"prompt":"a note\n","stream":true,"max_tokens":4,"stream_options":{"include_usage":true}}`)
+			s, url := startServer(t, Config{Seed: 7}, Faults{})
+			_, body, err := post(t, url+path, chatRequest+`,"prompt":"a note\n","stream":true,"max_tokens":4,"stream_options":{"include_usage":true}}`)
 			qt.Assert(t, err, qt.IsNil)
 			text, finish, used := readChunks(t, body)
 			qt.Check(t, text, qt.Equals, s.cfg.Answer("a note\n", 4))
@@ -74,7 +75,8 @@
 	}
 }
 
-// readChunks joins the text of an SSE body.
+// readChunks returns the joined text and finish reasons of an SSE body, and the
+// number of completion tokens that its usage reports.
 func readChunks(t *testing.T, body string) (text, finish string, completion int) {
 	t.Helper()
 	lines := bufio.NewScanner(strings.NewReader(body))
@@ -101,8 +103,9 @@
 	return text, finish, completion
 }
 
-// TestFaults: the caller's connection ends before the answer does. In the cut
-// case the request was read, so a client must not take it for one never sent.
+// TestFaults checks that the connection ends before the response is complete. With
+// CutAtRequest the server has read the request, so a client must not treat it as
+// never sent.
 func TestFaults(t *testing.T) {
 	cases := []struct {
 		name   string
@@ -115,12 +118,12 @@
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
-			s, url := start(t, Config{}, c.faults)
-			_, body, err := post(t, url+"/v1/chat/completions", chat+`,"stream":true}`)
+			s, url := startServer(t, Config{}, c.faults)
+			_, body, err := post(t, url+"/v1/chat/completions", chatRequest+`,"stream":true}`)
 			qt.Check(t, err, qt.IsNotNil)
 			qt.Check(t, strings.Count(body, `"content":"w`), qt.Equals, c.words)
 			qt.Check(t, s.Requests(), qt.Equals, 1)
-			_, _, err = post(t, url+"/v1/chat/completions", chat+`}`)
+			_, _, err = post(t, url+"/v1/chat/completions", chatRequest+`}`)
 			qt.Check(t, err != nil, qt.Equals, c.dead)
 		})
 	}
@@ -137,7 +140,7 @@
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
-			s, url := start(t, Config{IgnoreFence: c.ignore}, Faults{})
+			s, url := startServer(t, Config{IgnoreFence: c.ignore}, Faults{})
 			status, _, err := post(t, url+"/orders", `{"fence":5,"action":"load_model","value":"m2"}`)
 			qt.Assert(t, err, qt.IsNil)
 			qt.Check(t, status, qt.Equals, 200)
@@ -149,10 +152,11 @@
 	}
 }
 
-// open starts a stream of many tokens and returns it once the first has come.
-func open(t *testing.T, url string) (*http.Response, *bufio.Reader) {
+// openStream starts a stream of many tokens and returns it after the first line has
+// arrived.
+func openStream(t *testing.T, url string) (*http.Response, *bufio.Reader) {
 	t.Helper()
-	body := strings.Replace(chat, `"x_output_tokens":5`, `"x_output_tokens":1000000`, 1) + `,"stream":true}`
+	body := strings.Replace(chatRequest, `"x_output_tokens":5`, `"x_output_tokens":1000000`, 1) + `,"stream":true}`
 	resp, err := http.Post(url+"/v1/chat/completions", "application/json", strings.NewReader(body))
 	qt.Assert(t, err, qt.IsNil)
 	r := bufio.NewReader(resp.Body)
@@ -161,34 +165,34 @@
 	return resp, r
 }
 
-// busy counts the sequences that the engine holds.
-func (s *Server) busy() int {
+// sequenceCount returns the number of waiting and running sequences of the engine.
+func (s *Server) sequenceCount() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return len(s.engine.byID)
 }
 
-// TestDisconnectCancels: the caller leaves in the middle of a long answer. The
-// engine must drop the sequence, or it would decode for nobody.
+// TestDisconnectCancels disconnects the client in the middle of a long response. The
+// engine must remove the sequence; otherwise it would keep decoding without a client.
 func TestDisconnectCancels(t *testing.T) {
-	s, url := start(t, Config{Blocks: 100_000}, Faults{})
-	resp, _ := open(t, url)
-	qt.Check(t, s.busy(), qt.Equals, 1)
+	s, url := startServer(t, Config{Blocks: 100_000}, Faults{})
+	resp, _ := openStream(t, url)
+	qt.Check(t, s.sequenceCount(), qt.Equals, 1)
 	qt.Assert(t, resp.Body.Close(), qt.IsNil)
-	for s.busy() > 0 {
+	for s.sequenceCount() > 0 {
 		runtime.Gosched()
 	}
 }
 
-// TestStall: the first request's stream stands still after one token while its
-// connection stays open; a second request is answered meanwhile.
+// TestStall checks that the first stream stops after one token while its connection
+// stays open, and that a second request is answered meanwhile.
 func TestStall(t *testing.T) {
-	_, url := start(t, Config{Blocks: 100_000}, Faults{StallAtRequest: 1, StallAfterTokens: 1})
-	resp, r := open(t, url)
+	_, url := startServer(t, Config{Blocks: 100_000}, Faults{StallAtRequest: 1, StallAfterTokens: 1})
+	resp, r := openStream(t, url)
 	defer resp.Body.Close()
 	_, err := r.ReadString('\n')
 	qt.Assert(t, err, qt.IsNil)
-	status, _, err := post(t, url+"/v1/chat/completions", chat+`}`)
+	status, _, err := post(t, url+"/v1/chat/completions", chatRequest+`}`)
 	qt.Assert(t, err, qt.IsNil)
 	qt.Check(t, status, qt.Equals, 200)
 	qt.Check(t, r.Buffered(), qt.Equals, 0)
