--- a/node/process/agent.go
+++ b/node/process/agent.go
@@ -19,59 +19,66 @@
 	"github.com/sourcegraph/conc"
 )
 
-// AgentSettings are the process settings of the agent role.
+// AgentSettings holds the settings of an agent process.
 type AgentSettings struct {
 	Instance api.InstanceID
 	Zone     api.Zone
 	Key      []byte
-	// Seeds are link addresses of some entries, from which all others are
-	// learnt, and Links the number of entries to link to; zero means all.
+	// Seeds are the link addresses of some entries. The agent learns the addresses
+	// of the other entries from them. Links is the number of entries to link to;
+	// zero means all.
 	Seeds []string
 	Links int
-	// Target is announced under this name; TargetAddr is where it listens.
+	// Target is the ID under which the target is announced; TargetAddr is the
+	// address on which it listens.
 	Target     api.TargetID
 	TargetAddr string
 	Models     []api.ModelID
 	Services   []api.ServiceID
-	// Capacity is the engine's memory in tokens, MaxRunning its largest batch
-	// and Queue the requests that may wait here; zero takes the defaults, and for
-	// Queue the configuration in force.
+	// Capacity is the number of tokens that the engine's memory holds, MaxRunning
+	// the engine's largest batch and Queue the maximum number of requests that wait
+	// in the agent. Zero selects the default; for Queue that is the value of the
+	// configuration in force.
 	Capacity   int
 	MaxRunning int
 	Queue      int
-	// Prefill bounds the prompt tokens computed at once; zero takes the default.
+	// Prefill is the maximum number of prompt tokens being computed at once; zero
+	// selects the default.
 	Prefill      int
 	Capabilities agent.Capabilities
 }
 
-// AgentPorts are what an agent process needs beside its settings.
+// AgentPorts holds the dependencies of an agent process.
 type AgentPorts struct {
-	// Live takes the configuration that the linked entries pass on; nil takes
-	// none. Config hears of it and may be nil.
+	// Live receives the configuration that the linked entries send; if it is nil,
+	// the agent follows no configuration. Config observes that configuration and
+	// may be nil.
 	Live    *fleetconfig.Live
 	Config  rollout.Observer
 	Metrics *metrics.Set
 	Log     *zerolog.Logger
 }
 
-// Agent is a running agent role.
+// Agent is a running agent process.
 type Agent struct {
 	set    AgentSettings
 	ports  AgentPorts
 	agent  *agent.Agent
-	config *rollout.Agent // nil when no configuration is taken
-	links  *linkKeeper
+	config *rollout.Agent // nil if AgentPorts.Live is nil
+	links  *linkManager
 	work   conc.WaitGroup
 	ctx    context.Context
 	cancel context.CancelFunc
 }
 
-// defaultCapacity is assumed of an engine whose memory is not given.
+// defaultCapacity is the engine memory, in tokens, that is assumed if
+// AgentSettings.Capacity is zero.
 const defaultCapacity = 40_000
 
-// NewAgent makes the role; Start runs it. The incarnation is the time of the
-// start in milliseconds: an agent has no disk, and a clock that is set back
-// across a restart is the one case in which an older number could come again.
+// NewAgent creates an agent process; Start runs it. Its incarnation is the current
+// time in milliseconds, because an agent has no persistent storage. An incarnation
+// can be equal to or lower than an earlier one only if the clock is set back
+// between two starts.
 func NewAgent(set AgentSettings, ports AgentPorts) *Agent {
 	if set.Capacity == 0 {
 		set.Capacity = defaultCapacity
@@ -97,9 +104,9 @@
 		Queue:       set.Queue,
 		Observer:    metrics.Agent{Set: ports.Metrics},
 	}, target, admit)
-	a.links = newLinkKeeper(linkKeeperSettings{
+	a.links = newLinkManager(linkManagerSettings{
 		seeds:  set.Seeds,
-		spread: linkSpread,
+		spread: linkChangeSpread,
 		dial:   a.runLink,
 		retire: a.retireLink,
 	})
@@ -109,7 +116,7 @@
 	return a
 }
 
-// Start opens the links and takes work.
+// Start opens the links to entries and begins to accept requests.
 func (a *Agent) Start() {
 	a.work.Go(func() { a.agent.Run(a.ctx) })
 	if a.config != nil {
@@ -120,11 +127,12 @@
 		Str("target", string(a.set.Target)).Str("address", a.set.TargetAddr).Send()
 }
 
-// Links counts the entries that this agent is linked to.
-func (a *Agent) Links() int { return a.links.up() }
+// Links returns the number of entries that this agent is linked to.
+func (a *Agent) Links() int { return a.links.linksUp() }
 
-// runLink holds one link until it ends or ctx is done. up is told the link.
-func (a *Agent) runLink(ctx context.Context, addr string, up func(*link.Conn)) {
+// runLink dials an entry and runs the link until it ends or ctx is done. It calls
+// onConn with the link once it is established, and with nil when it has ended.
+func (a *Agent) runLink(ctx context.Context, addr string, onConn func(*link.Conn)) {
 	conn, err := link.Dial(ctx, addr, link.Options{
 		Key:      a.set.Key,
 		Self:     link.Peer{Instance: a.set.Instance, Zone: a.set.Zone, Role: link.RoleAgent},
@@ -137,8 +145,8 @@
 		}
 		return
 	}
-	up(conn)
-	defer up(nil)
+	onConn(conn)
+	defer onConn(nil)
 	detach := a.agent.Attach(conn)
 	defer detach()
 	handle := func(m wire.Message) { a.handle(conn, m) }
@@ -154,7 +162,9 @@
 	conn.Run(ctx, handle)
 }
 
-// retireLink returns when nothing depends on a link any more.
+// retireLink tells the entry on a link to send no more requests over it. It returns
+// when no request in progress depends on the link, the link has ended or ctx is
+// done.
 func (a *Agent) retireLink(ctx context.Context, conn *link.Conn) {
 	a.agent.Retire(conn)
 	t := time.NewTicker(drainPoll)
@@ -172,18 +182,20 @@
 
 func (a *Agent) handle(conn *link.Conn, m wire.Message) {
 	if list, ok := m.(*wire.Entries); ok {
-		a.links.learn(list.List)
+		a.links.setList(list.List)
 		return
 	}
 	a.agent.Handle(conn, m)
 }
 
-// drainPoll is the pace at which a leaving agent looks whether it is idle.
+// drainPoll is the interval at which a draining agent checks whether it is idle,
+// and retireLink whether the link is still in use.
 const drainPoll = 50 * time.Millisecond
 
-// Stop drains: the target leaves, work that has not started is handed back as
-// not run, and what runs goes on to its end or until ctx is done; then it stops
-// hard.
+// Stop drains the agent: it announces that the target is leaving, returns requests
+// that have not started to their entries as not run, and lets running requests
+// finish. If ctx is done before that, Stop cancels the requests that are left and
+// returns the error of ctx.
 func (a *Agent) Stop(ctx context.Context) error {
 	events.ProcessDraining.Log(a.ports.Log).Str("role", string(link.RoleAgent)).Send()
 	a.agent.Leave()
--- a/node/process/control.go
+++ b/node/process/control.go
@@ -19,37 +19,41 @@
 	"github.com/rs/zerolog"
 )
 
-// ControlSettings are the process settings of the control role.
+// ControlSettings holds the settings of a control process.
 type ControlSettings struct {
 	Instance api.InstanceID
 	Zone     api.Zone
 	Key      []byte
-	// Token lets operators in.
+	// Token is the token that operators authenticate with.
 	Token string
-	// Dir is the data folder. Losing it makes this a new member.
+	// Dir is the data directory. A member that loses it comes back as a new member
+	// with another ID.
 	Dir string
-	// Links and Operator are where members and entries, and operators, connect.
+	// Links accepts links of other members and of entries, Operator the HTTP
+	// requests of operators.
 	Links    net.Listener
 	Operator net.Listener
 	// Advertise is the address by which other members dial Links; by default
 	// the address that Links listens on.
 	Advertise string
-	// Bootstrap starts a new group of this member alone when the folder is
-	// empty. It is for groups that live as long as their process, such as solo's;
-	// a fleet's group is founded once, by Bootstrap.
+	// Bootstrap starts a new group with this member as its only voter if the data
+	// directory is empty. It is for groups that live as long as their process, such
+	// as the one of the solo command; a fleet's group is founded once, by the
+	// function Bootstrap.
 	Bootstrap bool
 }
 
-// Control is a running control role with its data folder.
+// Control is a running control process with its data directory.
 type Control struct {
-	set   ControlSettings
-	log   *zerolog.Logger
-	store *durable.Store
-	role  *control.Role
-	ready control.Settings
+	set          ControlSettings
+	log          *zerolog.Logger
+	store        *durable.Store
+	role         *control.Role
+	roleSettings control.Settings
 }
 
-// NewControl opens the data folder; Start runs the role.
+// NewControl opens the data directory and starts the member. Start only logs that it
+// runs.
 func NewControl(set ControlSettings, m *metrics.Set, log *zerolog.Logger) (*Control, error) {
 	store, restored, err := durable.Open(durable.OS{}, set.Dir)
 	if err != nil {
@@ -59,13 +63,13 @@
 		set.Advertise = set.Links.Addr().String()
 	}
 	c := &Control{set: set, log: log, store: store}
-	if set.Bootstrap && empty(restored) {
+	if set.Bootstrap && neverInGroup(restored) {
 		if restored, err = c.bootstrap(); err != nil {
 			_ = store.Close()
 			return nil, err
 		}
 	}
-	c.ready = control.Settings{
+	c.roleSettings = control.Settings{
 		ID:           store.ID(),
 		Restored:     restored,
 		Storage:      store,
@@ -76,13 +80,13 @@
 		Instance:     set.Instance,
 		Key:          set.Key,
 		Token:        set.Token,
-		Validate:     validDocument,
+		Validate:     validateDocument,
 		Pace:         loadPace,
 		Observer:     control.NewMetrics(m.Registry, log, store.ID()),
 		LinkObserver: m,
 		Limits:       state.DefaultLimits(),
 	}
-	c.role, err = control.Start(c.ready)
+	c.role, err = control.Start(c.roleSettings)
 	if err != nil {
 		_ = store.Close()
 		return nil, err
@@ -90,14 +94,15 @@
 	return c, nil
 }
 
-// firstIndex is that of the snapshot a bootstrap writes.
-const firstIndex = 1
+// bootstrapIndex is the log index of the snapshot that a bootstrap writes.
+const bootstrapIndex = 1
 
-// empty tells whether a folder has never been part of a group. A folder that has
-// must not be bootstrapped again: it would be a second group under one name. One
-// whose bootstrap was cut short after its first file still counts as empty.
-func empty(r consensus.Restored) bool {
-	return r.HardState == (consensus.HardState{}) && r.Snapshot.Index <= firstIndex && len(r.Entries) == 0
+// neverInGroup reports whether a data directory has never belonged to a control
+// group. A directory that has must not be bootstrapped again: that would create a
+// second group for the same fleet. If a bootstrap was interrupted after it had
+// written the snapshot, its first file, the directory still counts as new.
+func neverInGroup(r consensus.Restored) bool {
+	return r.HardState == (consensus.HardState{}) && r.Snapshot.Index <= bootstrapIndex && len(r.Entries) == 0
 }
 
 func (c *Control) bootstrap() (consensus.Restored, error) {
@@ -112,19 +117,21 @@
 	return r, c.store.Save(&r.HardState, r.Entries, true)
 }
 
-// ErrNotEmpty refuses to found a group in a folder that belongs to one.
+// ErrNotEmpty is returned by Bootstrap if the data directory already belongs to a
+// control group.
 var ErrNotEmpty = errors.New("the folder already belongs to a control group")
 
-// Bootstrap founds a group of one in an empty folder and gives its member's ID.
-// The state is on the disk before any member runs: one that led from memory alone
-// and then crashed would come back as an empty folder.
+// Bootstrap founds a control group with a single member in an empty data directory
+// and returns the ID of that member. The state is on disk before any member runs: a
+// member that became leader with its state only in memory, and then crashed, would
+// restart with an empty directory.
 func Bootstrap(dir, advertise string) (consensus.MemberID, error) {
 	store, restored, err := durable.Open(durable.OS{}, dir)
 	if err != nil {
 		return 0, err
 	}
 	c := &Control{set: ControlSettings{Advertise: advertise}, store: store}
-	if !empty(restored) {
+	if !neverInGroup(restored) {
 		return 0, errors.Join(ErrNotEmpty, store.Close())
 	}
 	if _, err := c.bootstrap(); err != nil {
@@ -133,7 +140,7 @@
 	return store.ID(), store.Close()
 }
 
-func validDocument(document []byte) error {
+func validateDocument(document []byte) error {
 	d, err := fleetconfig.DecodeDocument(document)
 	if err != nil {
 		return err
@@ -141,8 +148,9 @@
 	return d.Check()
 }
 
-// loadPace gives the pace of loads of a valid document. The weight store belongs
-// to the fleet, so the base alone is asked.
+// loadPace returns the limits on model loads that a valid document sets, or nil if it
+// cannot be read. The weight store is shared by the whole fleet, so only the base
+// configuration is read, without the overlay of a site.
 func loadPace(document []byte) *order.Pace {
 	d, err := fleetconfig.DecodeDocument(document)
 	if err != nil {
@@ -156,23 +164,26 @@
 	return &order.Pace{MaxLoads: w.MaxLoads, LoadBytesPerSecond: int64(w.Rate)}
 }
 
-// Start tells that the role runs; the member has been at work since NewControl.
+// Start logs that the role runs. The member has been running since NewControl.
 func (c *Control) Start() {
 	events.ControlStarted.Log(c.log).Uint64("member", uint64(c.store.ID())).
 		Str("links", c.set.Advertise).Str("operators", c.set.Operator.Addr().String()).Send()
 }
 
-// Ended is closed when the member has stopped; Stop then gives the reason.
+// Ended returns a channel that is closed when the member has stopped. Stop then
+// returns the cause.
 func (c *Control) Ended() <-chan struct{} { return c.role.Ended() }
 
-// ID is the member's ID, which `almondctl members add` asks for.
+// ID returns the member's ID, which `almondctl members add` takes as an argument.
 func (c *Control) ID() consensus.MemberID { return c.store.ID() }
 
-// Leader is the member that leads as far as this one knows, zero for nobody.
+// Leader returns the ID of the current leader as far as this member knows, zero if
+// it knows of none.
 func (c *Control) Leader() consensus.MemberID { return c.role.Member().Status().Leader }
 
-// Configure proposes a configuration at this member. Without a leader yet it is
-// tried again until ctx is done.
+// Configure proposes a configuration at this member. As long as the control group is
+// unavailable, for example because it has no leader yet, Configure retries until ctx
+// is done.
 func (c *Control) Configure(ctx context.Context, put state.ConfigPut) error {
 	for {
 		r := c.role.Member().Do(ctx, &control.Request{Command: &state.Command{Config: &put}})
@@ -189,7 +200,7 @@
 	}
 }
 
-// Stop ends the role and frees the data folder.
+// Stop stops the role and closes the data directory, which releases its lock.
 func (c *Control) Stop(context.Context) error {
 	err := c.role.Stop()
 	if cerr := c.store.Close(); err == nil && cerr != nil {
--- a/node/process/entry.go
+++ b/node/process/entry.go
@@ -1,4 +1,4 @@
-// Package process wires the parts of each role into a running process.
+// Package process assembles the components of each role into a running process.
 package process
 
 import (
@@ -26,28 +26,32 @@
 	"github.com/valyala/fasthttp"
 )
 
-// pathCodec knows the messages of links between entries and agents.
+// pathCodec encodes and decodes the messages on links between entries and agents and
+// between entries.
 var pathCodec = wire.NewCodec(slices.Concat(wire.PathProtos(), wire.LimitProtos(), rollout.Protos())...)
 
-// EntrySettings are the process settings of the entry role.
+// EntrySettings holds the settings of an entry process.
 type EntrySettings struct {
 	Instance api.InstanceID
 	Zone     api.Zone
 	Key      []byte
-	// Callers and Links are where callers and agents connect.
+	// Callers accepts connections of callers, Links those of agents and of other
+	// entries.
 	Callers net.Listener
 	Links   net.Listener
 	// Peers are the other entries that share the customers' limits.
 	Peers []EntryPeer
-	// Write bounds one write to a caller, 0 for the default.
+	// Write is the maximum duration of one write to a caller; 0 selects the default.
 	Write time.Duration
 }
 
-// EntryPorts are what an entry process needs beside its settings. Nil ports
-// take the parts that need no control group.
+// EntryPorts holds the dependencies of an entry process. Hub, Limiter and Claimer may
+// be nil: the entry then runs without the control group.
 type EntryPorts struct {
 	Live *fleetconfig.Live
-	// Hub passes the configuration on to the agents; nil passes none.
+	// Hub sends the configuration to the agents; nil sends none. A nil Limiter selects
+	// the limits that the entry shares with its peers. Without a Claimer, calls that
+	// must not be repeated are refused.
 	Hub     *rollout.Hub
 	Limiter callers.Limiter
 	Claimer callers.Claimer
@@ -55,7 +59,7 @@
 	Log     *zerolog.Logger
 }
 
-// Entry is a running entry role.
+// Entry is a running entry process.
 type Entry struct {
 	set     EntrySettings
 	ports   EntryPorts
@@ -67,17 +71,18 @@
 	work    conc.WaitGroup
 	ctx     context.Context
 	cancel  context.CancelFunc
-	// ctxOrders ends with the drain: a stopping entry hands over no more orders.
-	ctxOrders context.Context
-	endOrders context.CancelFunc
-	failed    chan error
+	// ordersCtx is cancelled when Stop begins: a draining entry forwards no more
+	// orders to agents.
+	ordersCtx    context.Context
+	cancelOrders context.CancelFunc
+	failed       chan error
 }
 
-// NewEntry makes the role; Start runs it.
+// NewEntry creates an entry process; Start runs it.
 func NewEntry(set EntrySettings, ports EntryPorts) *Entry {
 	e := &Entry{set: set, ports: ports, failed: make(chan error, 2)}
 	e.ctx, e.cancel = context.WithCancel(context.Background())
-	e.ctxOrders, e.endOrders = context.WithCancel(context.Background())
+	e.ordersCtx, e.cancelOrders = context.WithCancel(context.Background())
 	placer := entry.NewTablePlacer(routing.Options{})
 	placer.Follow(ports.Live)
 	retries := entry.NewRetries(retry.Options{}, metrics.Retries{Set: ports.Metrics})
@@ -105,13 +110,14 @@
 	return e
 }
 
-// Start serves callers and agents. Failed tells of a listener that gave up.
+// Start serves callers, agents and other entries. Failed delivers the error of a
+// server that stops unexpectedly.
 func (e *Entry) Start() {
-	e.work.Go(func() { e.serve("callers", e.callers.Serve(e.set.Callers)) })
-	e.work.Go(func() { e.serve("links", e.links.Serve(e.set.Links)) })
+	e.work.Go(func() { e.reportServeError("callers", e.callers.Serve(e.set.Callers)) })
+	e.work.Go(func() { e.reportServeError("links", e.links.Serve(e.set.Links)) })
 	e.work.Go(func() { e.limits.Run(e.ctx) })
 	for _, p := range e.set.Peers {
-		e.work.Go(func() { e.peers.keep(e.ctx, p) })
+		e.work.Go(func() { e.peers.maintain(e.ctx, p) })
 	}
 	if e.ports.Hub != nil {
 		e.work.Go(func() { e.ports.Hub.Run(e.ctx) })
@@ -120,29 +126,32 @@
 		Str("callers", e.set.Callers.Addr().String()).Str("links", e.set.Links.Addr().String()).Send()
 }
 
-func (e *Entry) serve(what string, err error) {
+func (e *Entry) reportServeError(what string, err error) {
 	if err == nil || e.ctx.Err() != nil || errors.Is(err, net.ErrClosed) {
 		return
 	}
 	e.failed <- fmt.Errorf("%s: %w", what, err)
 }
 
-// Failed gives the error of a listener that gave up.
+// Failed returns a channel that delivers the error of a server that has stopped
+// unexpectedly.
 func (e *Entry) Failed() <-chan error { return e.failed }
 
-// Targets counts the linked agents.
+// Targets returns the number of linked agents.
 func (e *Entry) Targets() int { return e.entry.Targets() }
 
-// SetEntries takes the fleet's entries, for the agents.
+// SetEntries sets the list of the fleet's entries. Each linked agent is sent those
+// that it is to link to.
 func (e *Entry) SetEntries(list []wire.EntryInfo) { e.entry.SetEntries(list) }
 
-// SetEvacuated takes the availability zones that operators have evacuated.
+// SetEvacuated sets the availability zones that operators have evacuated.
 func (e *Entry) SetEvacuated(zones []api.Zone) { e.entry.SetEvacuated(zones) }
 
-// SetDrains takes the targets that operators drain.
+// SetDrains sets the targets that operators drain. The value is the incarnation to
+// drain, 0 for any.
 func (e *Entry) SetDrains(drains map[api.TargetID]api.Incarnation) { e.entry.SetDrains(drains) }
 
-// View lists the linked agents' targets for the report to control.
+// View returns the linked agents' targets for the report to the control group.
 func (e *Entry) View() []control.TargetReport {
 	var out []control.TargetReport
 	for _, t := range e.entry.View() {
@@ -156,34 +165,35 @@
 		e.servePeer(c)
 		return
 	}
-	at := e.entry.Attach(c)
-	defer at.Closed()
-	handle := at.Handle
+	agentLink := e.entry.Attach(c)
+	defer agentLink.Closed()
+	handle := agentLink.Handle
 	if e.ports.Hub != nil {
 		session := e.ports.Hub.Attach(c.Peer().Instance, c)
 		defer session.Close()
 		handle = func(m wire.Message) {
 			if !session.Handle(m) {
-				at.Handle(m)
+				agentLink.Handle(m)
 			}
 		}
 	}
 	c.Run(e.ctx, handle)
 }
 
-// closeListeners closes what the servers' own shutdown may have missed: a server
-// that is told to shut down before its goroutine has taken the listener closes
-// nothing, then listens for ever, and Stop would wait for it. After the drain
-// the listeners are closed already in every other case.
+// closeListeners closes the listeners in case the servers' own shutdown has not. A
+// server that is told to shut down before its goroutine has taken over the listener
+// closes nothing and then serves that listener for ever, and Stop would wait for it.
+// In every other case the listeners are closed already when closeListeners is called
+// after the drain.
 func (e *Entry) closeListeners() {
 	_ = e.set.Callers.Close()
 	_ = e.set.Links.Close()
 }
 
-// Stop drains: no new connection is taken, requests in progress go on until
-// they end or ctx is done; then it stops hard.
+// Stop drains the entry: it accepts no new connections and lets requests in progress
+// finish. If ctx is done before that, Stop cancels the requests that are left.
 func (e *Entry) Stop(ctx context.Context) error {
-	e.endOrders()
+	e.cancelOrders()
 	events.ProcessDraining.Log(e.ports.Log).Str("role", string(link.RoleEntry)).Send()
 	err := e.callers.Drain(ctx)
 	if err != nil {
--- a/node/process/entrycontrol.go
+++ b/node/process/entrycontrol.go
@@ -18,50 +18,51 @@
 	"github.com/sourcegraph/conc"
 )
 
-// ControlLinkSettings connect an entry to the control group.
+// ControlLinkSettings holds the settings for connecting an entry to the control group.
 type ControlLinkSettings struct {
 	Instance api.InstanceID
 	Zone     api.Zone
 	Key      []byte
 	// Seeds are the link addresses of control members.
 	Seeds []string
-	// Links is the address at which this entry takes agents' links.
+	// Links is the address at which this entry accepts agents' links.
 	Links string
 }
 
-// reportEvery is the pace at which an entry tells control what it runs.
-const reportEvery = time.Second
+// reportInterval is the interval at which an entry reports its state to the control
+// group.
+const reportInterval = time.Second
 
-// EntryControl couples an entry to the control group: the configuration comes
-// from there, claims go there, and what runs here is reported there.
+// EntryControl connects an entry to the control group: it receives the configuration
+// from the group, sends claims to it and reports the entry's state to it.
 type EntryControl struct {
-	set      ControlLinkSettings
-	client   *control.Client
-	conf     *rollout.Entry
-	hub      *rollout.Hub
-	live     *fleetconfig.Live
-	view     func() []control.TargetReport
-	drain    func(map[api.TargetID]api.Incarnation)
-	evacuate func([]api.Zone)
-	tell     func([]wire.EntryInfo)
-	orders   func([]api.TargetID)
-	work     conc.WaitGroup
-	ctx      context.Context
-	cancel   context.CancelFunc
+	set          ControlLinkSettings
+	client       *control.Client
+	conf         *rollout.Entry
+	hub          *rollout.Hub
+	live         *fleetconfig.Live
+	listTargets  func() []control.TargetReport
+	setDrains    func(map[api.TargetID]api.Incarnation)
+	setEvacuated func([]api.Zone)
+	setEntries   func([]wire.EntryInfo)
+	setOrders    func([]api.TargetID)
+	work         conc.WaitGroup
+	ctx          context.Context
+	cancel       context.CancelFunc
 
 	mu sync.Mutex
-	// evacuatedAt is the log index of the list of evacuated zones in force.
-	evacuatedAt uint64
+	// evacuatedIndex is the log index of the list of evacuated zones in force.
+	evacuatedIndex uint64
 }
 
-// NewEntryControl makes the coupling; Start runs it. Nothing is in force in
-// Live before a majority has confirmed a revision.
+// NewEntryControl creates the connection to the control group; Start runs it. Live
+// holds no configuration before a majority has confirmed a revision.
 func NewEntryControl(set ControlLinkSettings, m *metrics.Set, log *zerolog.Logger) *EntryControl {
-	e := &EntryControl{set: set, live: &fleetconfig.Live{}, view: func() []control.TargetReport { return nil }}
-	e.drain = func(map[api.TargetID]api.Incarnation) {}
-	e.evacuate = func([]api.Zone) {}
-	e.tell = func([]wire.EntryInfo) {}
-	e.orders = func([]api.TargetID) {}
+	e := &EntryControl{set: set, live: &fleetconfig.Live{}, listTargets: func() []control.TargetReport { return nil }}
+	e.setDrains = func(map[api.TargetID]api.Incarnation) {}
+	e.setEvacuated = func([]api.Zone) {}
+	e.setEntries = func([]wire.EntryInfo) {}
+	e.setOrders = func([]api.TargetID) {}
 	e.ctx, e.cancel = context.WithCancel(context.Background())
 	self := link.Peer{Instance: set.Instance, Zone: set.Zone, Role: link.RoleEntry}
 	e.client = control.NewClient(control.ClientOptions{
@@ -70,11 +71,11 @@
 		OnConfig:    func(rev api.Revision, doc []byte) { e.conf.Deliver(rev, doc) },
 		OnDrains:    e.onDrains,
 		OnEvacuated: e.onEvacuated,
-		OnEntries:   func(list []wire.EntryInfo) { e.tell(list) },
-		OnOrders:    func(ready []api.TargetID) { e.orders(ready) },
+		OnEntries:   func(list []wire.EntryInfo) { e.setEntries(list) },
+		OnOrders:    func(ready []api.TargetID) { e.setOrders(ready) },
 		Observer:    m,
 		Report:      e.report,
-		ReportEvery: reportEvery,
+		ReportEvery: reportInterval,
 	})
 	obs := rollout.NewMetrics(m.Registry, log)
 	e.hub = rollout.NewHub(rollout.HubOptions{Source: e.client, Observer: obs})
@@ -82,72 +83,83 @@
 	return e
 }
 
-// Live holds the configuration in force.
+// Live returns the holder of the configuration in force.
 func (e *EntryControl) Live() *fleetconfig.Live { return e.live }
 
-// Hub passes the configuration on to the agents.
+// Hub returns the hub that sends the configuration to the agents.
 func (e *EntryControl) Hub() *rollout.Hub { return e.hub }
 
-// Claimer is the road for calls that must not be repeated.
+// Claimer returns the client that claims calls which must not be repeated at the
+// control group.
 func (e *EntryControl) Claimer() *control.Client { return e.client }
 
-// ShowTargets gives the source of the targets that are reported.
-func (e *EntryControl) ShowTargets(view func() []control.TargetReport) { e.view = view }
+// SetTargetSource sets the function that lists the targets to report. It must be
+// called before Start.
+func (e *EntryControl) SetTargetSource(listTargets func() []control.TargetReport) {
+	e.listTargets = listTargets
+}
 
-// Couple lets the entry hear of drained targets and of waiting orders. Call it
-// before Start.
+// Couple connects an entry process: its targets are reported to the control group,
+// and the entry receives the drained targets, the evacuated zones, the list of
+// entries and the targets with waiting orders. Couple must be called before Start.
 func (e *EntryControl) Couple(to *Entry) {
-	e.ShowTargets(to.View)
-	e.DrainTargets(to.SetDrains)
-	e.evacuate = to.SetEvacuated
-	e.TellEntries(to.SetEntries)
-	to.entry.SetOrderer(to.ctxOrders, e.client, order.DefaultLimits().Lease)
-	e.orders = to.entry.SetOrders
+	e.SetTargetSource(to.View)
+	e.SetDrainHandler(to.SetDrains)
+	e.setEvacuated = to.SetEvacuated
+	e.SetEntriesHandler(to.SetEntries)
+	to.entry.SetOrderer(to.ordersCtx, e.client, order.DefaultLimits().Lease)
+	e.setOrders = to.entry.SetOrders
 }
 
-// DrainTargets gives what is told of the targets that operators drain.
-func (e *EntryControl) DrainTargets(drain func(map[api.TargetID]api.Incarnation)) { e.drain = drain }
+// SetDrainHandler sets the function that receives the targets that operators drain.
+// It must be called before Start.
+func (e *EntryControl) SetDrainHandler(setDrains func(map[api.TargetID]api.Incarnation)) {
+	e.setDrains = setDrains
+}
 
-// TellEntries gives what is told of the fleet's entries.
-func (e *EntryControl) TellEntries(tell func([]wire.EntryInfo)) { e.tell = tell }
+// SetEntriesHandler sets the function that receives the list of the fleet's entries.
+// It must be called before Start.
+func (e *EntryControl) SetEntriesHandler(setEntries func([]wire.EntryInfo)) {
+	e.setEntries = setEntries
+}
 
 func (e *EntryControl) onDrains(list []state.Drain) {
 	drains := make(map[api.TargetID]api.Incarnation, len(list))
 	for _, d := range list {
 		drains[d.Target] = d.Incarnation
 	}
-	e.drain(drains)
+	e.setDrains(drains)
 }
 
-// onEvacuated passes a list on unless a newer one was: a member that lags must not undo an
-// order.
+// onEvacuated applies a list of evacuated zones unless a newer one has been applied: a
+// lagging control member must not revert an evacuation order.
 func (e *EntryControl) onEvacuated(list state.Evacuated) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	if list.Index < e.evacuatedAt {
+	if list.Index < e.evacuatedIndex {
 		return
 	}
-	e.evacuatedAt = list.Index
-	e.evacuate(list.Zones)
+	e.evacuatedIndex = list.Index
+	e.setEvacuated(list.Zones)
 }
 
 func (e *EntryControl) report() control.Report {
 	rev, site := e.conf.InForce()
-	r := control.Report{Instance: e.set.Instance, Site: site, Zone: e.set.Zone, Revision: rev, Targets: e.view(), Links: e.set.Links}
+	r := control.Report{Instance: e.set.Instance, Site: site, Zone: e.set.Zone, Revision: rev, Targets: e.listTargets(), Links: e.set.Links}
 	for _, n := range e.hub.Nodes() {
 		r.Nodes = append(r.Nodes, control.NodeReport{Instance: n.Instance, Site: n.Site, Revision: n.Revision})
 	}
 	return r
 }
 
-// Start runs the coupling until Stop.
+// Start connects to the control group; the connection lasts until Stop.
 func (e *EntryControl) Start() {
 	e.work.Go(func() { e.client.Run(e.ctx) })
 	e.work.Go(func() { e.conf.Run(e.ctx) })
 }
 
-// Stop ends the coupling. It comes after the entry has drained, whose last
-// settlements go over it.
+// Stop closes the connection to the control group. The entry must be drained first,
+// because it settles its last claims over this connection.
 func (e *EntryControl) Stop(context.Context) error {
 	e.cancel()
 	e.work.Wait()
--- a/node/process/limits.go
+++ b/node/process/limits.go
@@ -14,12 +14,12 @@
 // EntryPeer is another entry that shares the customers' limits.
 type EntryPeer struct {
 	Instance api.InstanceID
-	// Addr is the address of its links, HOST:PORT.
+	// Addr is the address at which it accepts links, HOST:PORT.
 	Addr string
 }
 
-// peerLinks holds a link to each other entry. An entry sends on the link that
-// it has dialled and hears on those that the others have.
+// peerLinks maintains a link to each other entry. An entry sends only on the links
+// that it has dialled and receives only on those that other entries have dialled.
 type peerLinks struct {
 	set   EntrySettings
 	ports EntryPorts
@@ -29,8 +29,8 @@
 
 var _ entry.LimitPeers = (*peerLinks)(nil)
 
-// Send implements entry.LimitPeers. A message to an entry whose link is down is
-// lost; the next request repeats what it said.
+// Send implements entry.LimitPeers. A message to an entry without a link is lost; the
+// next limit request to that entry makes up for it.
 func (p *peerLinks) Send(to api.InstanceID, m wire.Message) {
 	p.mu.RLock()
 	c := p.conns[to]
@@ -40,14 +40,14 @@
 	}
 }
 
-func (p *peerLinks) put(to api.InstanceID, c *link.Conn) {
+func (p *peerLinks) setConn(to api.InstanceID, c *link.Conn) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.conns[to] = c
 }
 
-// keep holds the link to one entry until ctx is done.
-func (p *peerLinks) keep(ctx context.Context, to EntryPeer) {
+// maintain keeps a link to one entry open until ctx is done.
+func (p *peerLinks) maintain(ctx context.Context, to EntryPeer) {
 	redial(ctx, func() { p.run(ctx, to) })
 }
 
@@ -64,12 +64,12 @@
 		}
 		return
 	}
-	p.put(to.Instance, conn)
-	defer p.put(to.Instance, nil)
+	p.setConn(to.Instance, conn)
+	defer p.setConn(to.Instance, nil)
 	conn.Run(ctx, func(wire.Message) {})
 }
 
-// newLimits makes the limits that this entry shares with its peers.
+// newLimits creates the customers' limits that this entry shares with its peers.
 func newLimits(set EntrySettings, ports EntryPorts, peers *peerLinks) *entry.Limits {
 	roster := entry.FixedRoster{Entries: []api.InstanceID{set.Instance}, Clock: time.Now}
 	for _, p := range set.Peers {
@@ -84,8 +84,8 @@
 	})
 }
 
-// servePeer runs the link that another entry has dialled. What it says of
-// itself must be what it has proved to be.
+// servePeer runs a link that another entry has dialled. It drops a limit request whose
+// holder is not the instance that the link has authenticated.
 func (e *Entry) servePeer(c *link.Conn) {
 	c.Run(e.ctx, func(m wire.Message) {
 		if r, ok := m.(*wire.LimitRequest); ok && r.Holder != c.Peer().Instance {
--- a/node/process/links.go
+++ b/node/process/links.go
@@ -14,104 +14,107 @@
 )
 
 const (
-	// linkSpread is the time over which an agent's moves between entries are
-	// spread by lot.
-	linkSpread = 5 * time.Second
-	// strandedAfter is how long an agent without any link waits before it dials
-	// its seeds again: all entries it knew may have been replaced meanwhile.
-	strandedAfter = 10 * time.Second
+	// linkChangeSpread is the period over which an agent opens the links of a new
+	// list at random times. It closes the links to other entries in an equally long
+	// period after that.
+	linkChangeSpread = 5 * time.Second
+	// seedRetryInterval is the interval at which an agent checks that it has a
+	// link. If it has none at two checks in a row, it dials its seeds again: all
+	// entries that it knew may have been replaced meanwhile.
+	seedRetryInterval = 10 * time.Second
 )
 
-// linkKeeperSettings are what a linkKeeper works with.
-type linkKeeperSettings struct {
+// linkManagerSettings holds the settings and dependencies of a linkManager.
+type linkManagerSettings struct {
 	seeds  []string
 	spread time.Duration
-	// dial holds a link until it or ctx ends; up is told the link, and nil at
-	// its end.
-	dial func(ctx context.Context, addr string, up func(*link.Conn))
-	// retire returns when nothing depends on a link any more.
+	// dial opens a link and returns when the link has ended or ctx is done. It calls
+	// onConn with the established link, and with nil when that has ended.
+	dial func(ctx context.Context, addr string, onConn func(*link.Conn))
+	// retire returns when no request depends on the link any more.
 	retire func(ctx context.Context, conn *link.Conn)
 }
 
-// linkKeeper holds an agent's links. It begins with the seeds, learns from them
-// which few entries it is to link to, and moves there: an entry of a large fleet
-// could not hold a link to every agent.
-type linkKeeper struct {
-	set  linkKeeperSettings
-	work conc.WaitGroup
-	news chan []wire.EntryInfo
+// linkManager maintains an agent's links. It starts with the seeds, learns from them
+// the few entries to which the agent is to link, and replaces the seeds by these: an
+// entry of a large fleet could not handle a link to every agent.
+type linkManager struct {
+	set   linkManagerSettings
+	work  conc.WaitGroup
+	lists chan []wire.EntryInfo
 
 	mu   sync.Mutex
 	held map[string]*heldLink // by address
-	// wanted are the addresses of the newest list's choice; nil before the first
-	// list. A move that was planned from an older list and has become wrong by
-	// the time it is due is left out.
+	// wanted holds the addresses in the newest list, nil before the first list. A
+	// change that was scheduled for an older list is skipped if it contradicts
+	// wanted when it is due.
 	wanted map[string]bool
 }
 
-// heldLink is one address that is kept dialled.
+// heldLink is an address to which the agent keeps a link open, dialling again when
+// the link ends.
 type heldLink struct {
 	entry  membership.Entry
 	cancel context.CancelFunc
-	conn   *link.Conn // nil while down
+	conn   *link.Conn // nil while no link is established
 }
 
-func newLinkKeeper(set linkKeeperSettings) *linkKeeper {
-	return &linkKeeper{set: set, news: make(chan []wire.EntryInfo, 1), held: make(map[string]*heldLink)}
+func newLinkManager(set linkManagerSettings) *linkManager {
+	return &linkManager{set: set, lists: make(chan []wire.EntryInfo, 1), held: make(map[string]*heldLink)}
 }
 
-// learn takes the list of entries to link to. Only the newest one counts.
-func (k *linkKeeper) learn(list []wire.EntryInfo) {
+// setList sets the list of entries to link to. Only the newest list is applied.
+func (k *linkManager) setList(list []wire.EntryInfo) {
 	select {
-	case <-k.news:
+	case <-k.lists:
 	default:
 	}
 	select {
-	case k.news <- list:
+	case k.lists <- list:
 	default:
 	}
 }
 
-// run keeps the links until ctx is done.
-func (k *linkKeeper) run(ctx context.Context) {
+// run maintains the links until ctx is done.
+func (k *linkManager) run(ctx context.Context) {
 	defer k.work.Wait()
 	k.openSeeds(ctx)
-	t := time.NewTicker(strandedAfter)
+	t := time.NewTicker(seedRetryInterval)
 	defer t.Stop()
-	stranded := false
+	hadNoLink := false
 	for {
 		select {
 		case <-ctx.Done():
 			return
-		case list := <-k.news:
-			k.follow(ctx, list)
+		case list := <-k.lists:
+			k.applyList(ctx, list)
 		case <-t.C:
-			if k.up() > 0 {
-				stranded = false
+			if k.linksUp() > 0 {
+				hadNoLink = false
 				continue
 			}
-			if stranded {
+			if hadNoLink {
 				k.openSeeds(ctx)
 			}
-			stranded = true
+			hadNoLink = true
 		}
 	}
 }
 
-func (k *linkKeeper) openSeeds(ctx context.Context) {
+func (k *linkManager) openSeeds(ctx context.Context) {
 	for _, addr := range k.set.seeds {
-		k.open(ctx, addr, membership.Entry{Instance: api.InstanceID(addr)})
+		k.openLink(ctx, addr, membership.Entry{Instance: api.InstanceID(addr)})
 	}
 }
 
-func (k *linkKeeper) up() int {
+func (k *linkManager) linksUp() int {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	return k.upLocked()
+	return k.linksUpLocked()
 }
 
-// follow moves from the links that are held to those that the list gives.
-func (k *linkKeeper) follow(ctx context.Context, list []wire.EntryInfo) {
+// applyList schedules the changes from the current links to those of the list.
+func (k *linkManager) applyList(ctx context.Context, list []wire.EntryInfo) {
 	if len(list) == 0 {
 		return
 	}
@@ -121,15 +124,15 @@
 		wanted[i] = membership.Entry{Instance: e.Instance, Zone: e.Zone}
 		addr[wanted[i]] = e.Addr
 	}
-	held := k.name(list, addr)
-	k.want(wanted, addr)
+	held := k.matchHeld(list, addr)
+	k.setWanted(wanted, addr)
 	rng := rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64()))
 	for _, m := range membership.Plan(held, wanted, k.set.spread, rng) {
-		k.move(ctx, m, addr[m.Entry])
+		k.scheduleChange(ctx, m, addr[m.Entry])
 	}
 }
 
-func (k *linkKeeper) want(wanted []membership.Entry, addr map[membership.Entry]string) {
+func (k *linkManager) setWanted(wanted []membership.Entry, addr map[membership.Entry]string) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	k.wanted = make(map[string]bool, len(wanted))
@@ -138,9 +141,10 @@
 	}
 }
 
-// name gives the held links by the names of the list, and adds to addr the
-// addresses of those that are not in it.
-func (k *linkKeeper) name(list []wire.EntryInfo, addr map[membership.Entry]string) []membership.Entry {
+// matchHeld returns the entries of the held links, after replacing the placeholder
+// names of seeds by the instance and zone given in the list. It adds the addresses of
+// held links that are not in the list to addr.
+func (k *linkManager) matchHeld(list []wire.EntryInfo, addr map[membership.Entry]string) []membership.Entry {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	for _, e := range list {
@@ -156,8 +160,8 @@
 	return out
 }
 
-// move carries out one move when it is due.
-func (k *linkKeeper) move(ctx context.Context, m membership.LinkChange, addr string) {
+// scheduleChange opens or closes a link when the change is due.
+func (k *linkManager) scheduleChange(ctx context.Context, m membership.LinkChange, addr string) {
 	k.work.Go(func() {
 		select {
 		case <-ctx.Done():
@@ -168,21 +172,21 @@
 			return
 		}
 		if m.Open {
-			k.open(ctx, addr, m.Entry)
+			k.openLink(ctx, addr, m.Entry)
 			return
 		}
-		k.shut(ctx, addr)
+		k.closeLink(ctx, addr)
 	})
 }
 
-func (k *linkKeeper) isWanted(addr string) bool {
+func (k *linkManager) isWanted(addr string) bool {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	return k.wanted[addr]
 }
 
-// open keeps an address dialled, unless it is already.
-func (k *linkKeeper) open(ctx context.Context, addr string, e membership.Entry) {
+// openLink starts to keep a link to an address open, unless it does so already.
+func (k *linkManager) openLink(ctx context.Context, addr string, e membership.Entry) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	if k.held[addr] != nil {
@@ -192,22 +196,23 @@
 	h := &heldLink{entry: e, cancel: cancel}
 	k.held[addr] = h
 	k.work.Go(func() {
-		redial(ctx, func() { k.set.dial(ctx, addr, func(c *link.Conn) { k.note(h, c) }) })
+		redial(ctx, func() { k.set.dial(ctx, addr, func(c *link.Conn) { k.setLinkConn(h, c) }) })
 	})
 }
 
-func (k *linkKeeper) note(h *heldLink, c *link.Conn) {
+func (k *linkManager) setLinkConn(h *heldLink, c *link.Conn) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	h.conn = c
 }
 
-// shut gives a link up once nothing depends on it, but never the last one that
-// is up: what the list says may be older than what this agent sees.
-func (k *linkKeeper) shut(ctx context.Context, addr string) {
+// closeLink closes a link once no request depends on it. It keeps the last link that
+// is established, because the list may be older than the state that this agent
+// sees.
+func (k *linkManager) closeLink(ctx context.Context, addr string) {
 	k.mu.Lock()
 	h := k.held[addr]
-	if h == nil || h.conn != nil && k.upLocked() == 1 {
+	if h == nil || h.conn != nil && k.linksUpLocked() == 1 {
 		k.mu.Unlock()
 		return
 	}
@@ -220,7 +225,7 @@
 	h.cancel()
 }
 
-func (k *linkKeeper) upLocked() int {
+func (k *linkManager) linksUpLocked() int {
 	n := 0
 	for _, h := range k.held {
 		if h.conn != nil {
--- a/node/process/links_test.go
+++ b/node/process/links_test.go
@@ -69,11 +69,11 @@
 }
 
 // keep runs a keeper with one seed for the length of a test, in virtual time.
-func keep(t *testing.T, test func(c *qt.C, k *linkKeeper, f *fakeDials)) {
+func keep(t *testing.T, test func(c *qt.C, k *linkManager, f *fakeDials)) {
 	synctest.Test(t, func(t *testing.T) {
 		f := &fakeDials{open: make(map[string]bool), down: make(map[string]bool)}
-		k := newLinkKeeper(linkKeeperSettings{
-			seeds: []string{"addr0"}, spread: linkSpread, dial: f.dial, retire: f.retire,
+		k := newLinkManager(linkManagerSettings{
+			seeds: []string{"addr0"}, spread: linkChangeSpread, dial: f.dial, retire: f.retire,
 		})
 		ctx, cancel := context.WithCancel(context.Background())
 		done := make(chan struct{})
@@ -88,14 +88,14 @@
 	})
 }
 
-const movesDone = 3 * linkSpread
+const movesDone = 3 * linkChangeSpread
 
 // An agent starts with one seed and is told of three other entries. It ends up
 // with those three links, and while it moves it is never without one.
 func TestAgentMovesFromItsSeedToItsSubset(t *testing.T) {
-	keep(t, func(c *qt.C, k *linkKeeper, f *fakeDials) {
+	keep(t, func(c *qt.C, k *linkManager, f *fakeDials) {
 		c.Assert(f.links(), qt.DeepEquals, []string{"addr0"})
-		k.learn(entriesTo(3, 7, 9))
+		k.setList(entriesTo(3, 7, 9))
 		for range movesDone / (100 * time.Millisecond) {
 			time.Sleep(100 * time.Millisecond)
 			c.Assert(len(f.links()) > 0, qt.IsTrue)
@@ -107,10 +107,10 @@
 // The list changes again before the moves of the last one are due: what was
 // planned from the old list must not shut a link that the new one wants.
 func TestMovesOfAnOldListAreLeftOut(t *testing.T) {
-	keep(t, func(c *qt.C, k *linkKeeper, f *fakeDials) {
+	keep(t, func(c *qt.C, k *linkManager, f *fakeDials) {
 		for _, list := range [][]int{{1, 2, 3}, {2, 3, 4}, {1, 3, 5}, {0, 6, 7}, {1, 2, 3}} {
-			k.learn(entriesTo(list...))
-			time.Sleep(linkSpread / 3)
+			k.setList(entriesTo(list...))
+			time.Sleep(linkChangeSpread / 3)
 		}
 		time.Sleep(movesDone)
 		c.Assert(f.links(), qt.DeepEquals, []string{"addr1", "addr2", "addr3"})
@@ -120,9 +120,9 @@
 // All entries that the agent knows are replaced at once and no list reaches it.
 // It goes back to its seeds instead of dialling dead addresses for ever.
 func TestStrandedAgentGoesBackToItsSeeds(t *testing.T) {
-	keep(t, func(c *qt.C, k *linkKeeper, f *fakeDials) {
+	keep(t, func(c *qt.C, k *linkManager, f *fakeDials) {
 		list := entriesTo(1, 2, 3)
-		k.learn(list)
+		k.setList(list)
 		time.Sleep(movesDone)
 		c.Assert(f.links(), qt.Not(qt.Contains), "addr0")
 		f.mu.Lock()
@@ -135,7 +135,7 @@
 			h.conn = nil
 		}
 		k.mu.Unlock()
-		time.Sleep(3 * strandedAfter)
+		time.Sleep(3 * seedRetryInterval)
 		c.Assert(f.links(), qt.Contains, "addr0")
 	})
 }
--- a/node/process/redial.go
+++ b/node/process/redial.go
@@ -7,18 +7,18 @@
 	"almondseam.dev/node/link"
 )
 
-// Waits between dials, see link.RunWithBackoff.
+// Bounds of the delay between two dials, see link.RunWithBackoff.
 const (
-	firstRedial = 100 * time.Millisecond
-	lastRedial  = 5 * time.Second
+	minRedialDelay = 100 * time.Millisecond
+	maxRedialDelay = 5 * time.Second
 )
 
-// redial runs a link again and again until ctx is done. One that stood for a while
-// counts as reached.
+// redial calls run repeatedly until ctx is done. run dials a link and returns when it
+// has ended. A link that lasted longer than maxRedialDelay resets the delay.
 func redial(ctx context.Context, run func()) {
-	link.RunWithBackoff(ctx, firstRedial, lastRedial, func() bool {
+	link.RunWithBackoff(ctx, minRedialDelay, maxRedialDelay, func() bool {
 		start := time.Now()
 		run()
-		return time.Since(start) > lastRedial
+		return time.Since(start) > maxRedialDelay
 	})
 }
--- a/node/process/routed_control.go
+++ b/node/process/routed_control.go
@@ -28,90 +28,94 @@
 	"github.com/sourcegraph/conc"
 )
 
-// RoutedControlSettings are the settings of a control member that founds and joins
-// its group by itself and hears the announcements of targets.
+// RoutedControlSettings holds the settings of a control member that founds or joins
+// its group without an operator and receives the announcements of targets.
 type RoutedControlSettings struct {
 	Instance api.InstanceID
 	Zone     api.Zone
 	Key      []byte
 	Dir      string
-	// Links is the address of this member's links, Seeds those of other members.
+	// Links is the link address of this member, Seeds are those of the members that it
+	// finds its group by.
 	Links string
 	Seeds []string
-	// Listen is where the member listens for links; empty for Links.
+	// Listen is the address on which the member listens for links; empty for Links.
 	Listen string
 	// Founding is set when the whole system starts for the first time: the seeds
-	// are then the founders.
+	// are then the founders of the group.
 	Founding bool
-	// AnnounceEvery is how often a target announces itself.
+	// AnnounceEvery is the interval at which a target announces itself.
 	AnnounceEvery time.Duration
-	// Regions are the regions by availability zone: what operators may evacuate, and what
-	// the homes of routes and customers may name. Empty where they aren't known, which
-	// checks nothing.
+	// Regions maps each availability zone to its region. Operators may evacuate only
+	// these zones, and routes and customers may name only these regions as homes. If
+	// Regions is empty, neither is checked.
 	Regions  map[api.Zone]api.Region
 	Validate control.Validator
-	// Retries bounds the retries of all entries together.
+	// Retries limits the retries of all entries together.
 	Retries retrybudget.Limits
 }
 
-// RoutedControl is a running control member. It outlives failures of its disk: the
-// member is then started anew from what the disk holds.
+// RoutedControl is a running control member. It survives disk failures: the member is
+// restarted from the state on its disk.
 type RoutedControl struct {
-	set      RoutedControlSettings
-	log      *zerolog.Logger
-	observer *control.Metrics
-	links    link.Observer
-	registry *registry.Registry
-	follower *registry.Follower
-	role     atomic.Pointer[control.Role]
-	work     conc.WaitGroup
-	ctx      context.Context
-	cancel   context.CancelFunc
+	set          RoutedControlSettings
+	log          *zerolog.Logger
+	observer     *control.Metrics
+	linkObserver link.Observer
+	registry     *registry.Registry
+	follower     *registry.Follower
+	role         atomic.Pointer[control.Role]
+	work         conc.WaitGroup
+	ctx          context.Context
+	cancel       context.CancelFunc
 }
 
-// NewRoutedControl makes the role; Start runs it.
+// NewRoutedControl creates a control member; Start runs it.
 func NewRoutedControl(set RoutedControlSettings, m *metrics.Set, log *zerolog.Logger) *RoutedControl {
-	c := &RoutedControl{set: set, log: log, links: m}
+	c := &RoutedControl{set: set, log: log, linkObserver: m}
 	c.ctx, c.cancel = context.WithCancel(context.Background())
 	c.observer = control.NewMetrics(m.Registry, log, 0)
 	c.registry = registry.New(metrics.Directory{Log: log}, nil)
 	opt := control.LinkOptions(set.Key, link.Peer{Instance: set.Instance, Zone: set.Zone, Role: link.RoleControl}, m)
-	opt.Silence = routedSilence
+	opt.Silence = routedLinkTimeout
 	c.follower = registry.NewFollower(c.ctx, registry.FollowerOptions{
 		Registry: c.registry, Link: opt, Self: set.Links, OnLoads: c.registry.LoadOfPeer, Member: true,
 	})
 	return c
 }
 
-// FounderID gives the identity of a founder. The founders must know each other's
-// before any of them runs, so it follows from the address; a member that comes
-// later, also at the same address with an empty disk, draws its own.
+// FounderID returns the ID of the founder with the given address. The founders must
+// know each other's IDs before any of them runs, so the ID is a hash of the address.
+// A member that joins later draws a random ID, also if it joins with an empty disk at
+// the address of a founder.
 func FounderID(addr string) consensus.MemberID {
 	h := fnv.New64a()
-	_, _ = h.Write([]byte(addr)) // a hash takes every write
+	_, _ = h.Write([]byte(addr)) // Write of a hash never returns an error
 	return consensus.MemberID(h.Sum64() | 1)
 }
 
 const (
-	// missedAnnouncements is how many announcements a target may miss before it is
-	// taken for missing.
-	missedAnnouncements = 4
-	// restartPause is the wait before a member whose disk failed is tried again.
+	// maxMissedAnnouncements is the number of announcement intervals without an
+	// announcement after which a target is marked as missing.
+	maxMissedAnnouncements = 4
+	// restartPause is the delay before a member that has ended, for example because
+	// its disk failed, is started again.
 	restartPause = 500 * time.Millisecond
 )
 
 // Start runs the member until Stop.
 func (c *RoutedControl) Start() {
 	c.follower.Follow(c.set.Seeds)
-	c.work.Go(func() { c.registry.RunExpiry(c.ctx, missedAnnouncements*c.set.AnnounceEvery) })
+	c.work.Go(func() { c.registry.RunExpiry(c.ctx, maxMissedAnnouncements*c.set.AnnounceEvery) })
 	c.work.Go(func() { c.registry.RunRounds(c.ctx) })
 	c.work.Go(c.keepRunning)
 	c.work.Go(c.followMembers)
 	events.ControlStarted.Log(c.log).Str("links", c.set.Links).Bool("founding", c.set.Founding).Send()
 }
 
-// keepRunning starts the member again whenever its disk has failed. To end the
-// process would be no better: it too would start from what the disk holds, later.
+// keepRunning starts the member again whenever it has ended, which it does when its
+// disk fails. Exiting the process instead would have no advantage: a new process would
+// start from the same state on disk, only later.
 func (c *RoutedControl) keepRunning() {
 	for c.ctx.Err() == nil {
 		err := c.runOnce()
@@ -150,12 +154,12 @@
 		Key:          c.set.Key,
 		Validate:     c.set.Validate,
 		Observer:     c.observer,
-		LinkObserver: c.links,
+		LinkObserver: c.linkObserver,
 		Limits:       routedLimits(),
 		Retries:      c.set.Retries,
 		Join:         &control.Join{Seeds: c.set.Seeds, Self: c.set.Links},
 		Registry:     c.registry,
-		Silence:      routedSilence,
+		Silence:      routedLinkTimeout,
 	})
 	if err != nil {
 		_ = ln.Close()
@@ -170,7 +174,8 @@
 	return role.Stop()
 }
 
-// maxRoutedDocument bounds an operator's document: some ten thousand routes.
+// maxRoutedDocument is the maximum size of an operator's document in bytes, which is
+// enough for some ten thousand routes.
 const maxRoutedDocument = 4 << 20
 
 func routedLimits() state.Limits {
@@ -180,11 +185,11 @@
 }
 
 func (c *RoutedControl) open() (*durable.Store, consensus.Restored, error) {
-	if !c.founds() {
+	if !c.isFounder() {
 		return durable.Open(durable.OS{}, c.set.Dir)
 	}
 	store, restored, err := durable.OpenAs(durable.OS{}, c.set.Dir, FounderID(c.set.Links))
-	if err != nil || !empty(restored) || store.ID() != FounderID(c.set.Links) {
+	if err != nil || !neverInGroup(restored) || store.ID() != FounderID(c.set.Links) {
 		return store, restored, err
 	}
 	var group consensus.Membership
@@ -205,8 +210,8 @@
 	return store, restored, nil
 }
 
-// founds tells whether this member is one of the founders.
-func (c *RoutedControl) founds() bool {
+// isFounder reports whether this member is one of the founders.
+func (c *RoutedControl) isFounder() bool {
 	if !c.set.Founding {
 		return false
 	}
@@ -218,12 +223,14 @@
 	return false
 }
 
-// followEvery is how often the addresses of the other members are looked up.
-const followEvery = time.Second
+// followInterval is the interval at which the addresses of the other members are
+// updated.
+const followInterval = time.Second
 
-// followMembers hears what targets announce to other members.
+// followMembers keeps the links to the group's current members up to date, over which
+// this member receives the announcements that targets make to other members.
 func (c *RoutedControl) followMembers() {
-	t := time.NewTicker(followEvery)
+	t := time.NewTicker(followInterval)
 	defer t.Stop()
 	for {
 		select {
@@ -248,10 +255,10 @@
 	}
 }
 
-// Announce takes what a target says of itself.
+// Announce applies the announcement of a target.
 func (c *RoutedControl) Announce(r directory.Record) { c.registry.Announce(r) }
 
-// Leave takes a target's word that it goes.
+// Leave applies the deregistration of a target.
 func (c *RoutedControl) Leave(id api.TargetID, born int64) { c.registry.Leave(id, born) }
 
 // Unusable logs an announcement that could not be read.
@@ -259,12 +266,13 @@
 	events.TargetUnusable.Log(c.log).Str("target", id).Err(err).Send()
 }
 
-// Check tells whether a document fits this fleet.
+// Check returns an error if a document names a region that this fleet does not have.
 func (c *RoutedControl) Check(t *routeconf.Table) error {
 	return t.CheckRegions(slices.Collect(maps.Values(c.set.Regions)))
 }
 
-// Put proposes an operator's document.
+// Put proposes an operator's document. If the group decided on the proposal but did
+// not accept it, Put returns api.OutcomeNotRun.
 func (c *RoutedControl) Put(ctx context.Context, version uint64, document []byte) api.Outcome {
 	role := c.role.Load()
 	if role == nil {
@@ -279,8 +287,9 @@
 	return outcome
 }
 
-// Evacuate proposes that the targets of an availability zone get no new work, or with
-// finish that they get it again. Nil tells that the order is in force.
+// Evacuate proposes that targets in an availability zone get no new requests or, if
+// finish is set, that they get new requests again. It returns nil once the order is in
+// force.
 func (c *RoutedControl) Evacuate(ctx context.Context, zone api.Zone, finish bool) error {
 	err := c.evacuate(ctx, zone, finish)
 	events.EvacuationPut.Log(c.log).Str("zone", string(zone)).Bool("finish", finish).Err(err).Send()
@@ -302,8 +311,8 @@
 // ErrUnknownZone reports an availability zone that the settings do not name.
 var ErrUnknownZone = errors.New("the settings name no such availability zone")
 
-// Get gives the newest document. It is read after a majority has confirmed which
-// that is.
+// Get returns the newest document. A majority confirms the newest revision before the
+// document is read. Get returns false if that fails or there is no document.
 func (c *RoutedControl) Get(ctx context.Context) ([]byte, bool) {
 	role := c.role.Load()
 	if role == nil {
@@ -320,7 +329,7 @@
 // Refused logs an operator's document that was not valid.
 func (c *RoutedControl) Refused(err error) { events.ConfigInvalid.Log(c.log).Err(err).Send() }
 
-// Stop ends the role.
+// Stop stops the member.
 func (c *RoutedControl) Stop(context.Context) error {
 	c.cancel()
 	c.work.Wait()
--- a/node/process/routed_entry.go
+++ b/node/process/routed_entry.go
@@ -26,29 +26,29 @@
 	"github.com/sourcegraph/conc"
 )
 
-// RoutedEntrySettings are the settings of an entry that routes to targets which
-// announce themselves and have no agent.
+// RoutedEntrySettings holds the settings of an entry process that routes to targets
+// which announce themselves and have no agent.
 type RoutedEntrySettings struct {
 	Instance api.InstanceID
 	Zone     api.Zone
-	// Regions are the regions by availability zone.
+	// Regions maps each availability zone to its region.
 	Regions map[api.Zone]api.Region
 	Key     []byte
 	Callers net.Listener
-	// Seeds are link addresses of control members.
+	// Seeds are the link addresses of control members.
 	Seeds []string
-	// Retries bounds the retries of all entries together.
+	// Retries limits the retries of all entries together.
 	Retries retrybudget.Limits
-	// Grace is how long a stop may take in all.
+	// Grace is the total time that Stop may take.
 	Grace time.Duration
 }
 
-// RoutedEntryPorts are what it needs beside its settings.
+// RoutedEntryPorts holds the dependencies of a RoutedEntry.
 type RoutedEntryPorts struct {
 	Dialect relay.Dialect
 	Pool    *upstream.Pool
 	Engines relay.Engines
-	// Decode reads an operator's document.
+	// Decode parses an operator's document.
 	Decode   func(document []byte) (*routeconf.Table, error)
 	Observer relay.Observer
 	Metrics  *metrics.Set
@@ -56,28 +56,34 @@
 }
 
 const (
-	// routedSilence ends a link without a sign of life. A configuration has to be
-	// in force within two seconds of its confirmation and three of calm, so that a
-	// stalled link must be noticed within that.
-	routedSilence = 1800 * time.Millisecond
-	// leaveBalancerFor is how long a stopping entry goes on taking connections: the
-	// balancer asks every second and goes by two misses.
-	leaveBalancerFor = 2300 * time.Millisecond
-	// graceShare bounds that wait where the grace is short: one part in so many.
-	graceShare = 3
-	// stopMargin is kept from the grace for the end of the process itself.
+	// routedLinkTimeout is the time without any message after which a link is
+	// closed. A configuration must be in force within two seconds of its
+	// confirmation, and within three seconds of the end of a disturbance, so a
+	// stalled link must be detected within that time.
+	routedLinkTimeout = 1800 * time.Millisecond
+	// balancerDelay is how long a stopping entry still accepts connections: the load
+	// balancer checks its readiness every second and removes it after two failed
+	// checks.
+	balancerDelay = 2300 * time.Millisecond
+	// balancerDelayDivisor limits balancerDelay to this fraction of a short grace
+	// period: one third.
+	balancerDelayDivisor = 3
+	// stopMargin is the part of the grace period that is reserved for the exit of the
+	// process itself.
 	stopMargin = 400 * time.Millisecond
-	// headTime bounds the reading of a request's head; the configuration's own
-	// bound is never longer.
-	headTime = 10 * time.Second
-	// idleTime is how long a caller's idle connection is kept; callers use theirs
-	// again within the configuration's bound, which is a few times shorter.
-	idleTime = 2 * time.Minute
-	// maxHead bounds a request's head in bytes, above any configuration's bound.
-	maxHead = 64 << 10
+	// readHeaderTimeout is the maximum time for reading a request header. The limit
+	// in the configuration is never longer.
+	readHeaderTimeout = 10 * time.Second
+	// idleTimeout is how long an idle connection of a caller is kept open. Callers
+	// reuse a connection only within the limit in the configuration, which is a few
+	// times shorter.
+	idleTimeout = 2 * time.Minute
+	// maxHeaderBytes is the maximum size of a request header. The limit in the
+	// configuration is always lower.
+	maxHeaderBytes = 64 << 10
 )
 
-// RoutedEntry is a running entry.
+// RoutedEntry is a running entry process that routes to targets without agents.
 type RoutedEntry struct {
 	set      RoutedEntrySettings
 	ports    RoutedEntryPorts
@@ -96,21 +102,21 @@
 
 	mu   sync.Mutex
 	gate rollout.Gate[[]byte]
-	// pending is the newest document that is to come in force, nil for none; taken
-	// holds a token when there is one.
-	pending []byte
-	taken   chan struct{}
+	// pendingDocument is the newest document that is still to be put in force, nil
+	// for none; documentQueued holds a token if there is one.
+	pendingDocument []byte
+	documentQueued  chan struct{}
 
 	loadsMu sync.Mutex
 	loads   *fleetload.Table
 }
 
-// NewRoutedEntry makes the role; Start runs it.
+// NewRoutedEntry creates an entry process; Start runs it.
 func NewRoutedEntry(set RoutedEntrySettings, p RoutedEntryPorts) *RoutedEntry {
-	e := &RoutedEntry{set: set, ports: p, targets: relay.NewTargets(), loads: fleetload.NewTable(set.Instance), taken: make(chan struct{}, 1)}
+	e := &RoutedEntry{set: set, ports: p, targets: relay.NewTargets(), loads: fleetload.NewTable(set.Instance), documentQueued: make(chan struct{}, 1)}
 	e.ctx, e.cancel = context.WithCancel(context.Background())
 	opt := control.LinkOptions(set.Key, link.Peer{Instance: set.Instance, Zone: set.Zone, Role: link.RoleEntry}, p.Metrics)
-	opt.Silence = routedSilence
+	opt.Silence = routedLinkTimeout
 	e.registry = registry.New(metrics.Directory{Log: p.Log}, e.targets.Update)
 	e.follower = registry.NewFollower(e.ctx, registry.FollowerOptions{Registry: e.registry, Link: opt, OnLoads: e.onLoads})
 	e.client = control.NewClient(control.ClientOptions{
@@ -130,19 +136,19 @@
 		Retries: e.retries, LimitReports: e.limits, Observer: p.Observer,
 	})
 	e.server = &http.Server{
-		Handler: handler, ReadHeaderTimeout: headTime, IdleTimeout: idleTime, MaxHeaderBytes: maxHead,
+		Handler: handler, ReadHeaderTimeout: readHeaderTimeout, IdleTimeout: idleTimeout, MaxHeaderBytes: maxHeaderBytes,
 		ErrorLog: metrics.ServerLog(p.Log),
 	}
 	return e
 }
 
-// Start serves callers.
+// Start connects to the control group and serves callers.
 func (e *RoutedEntry) Start() {
 	e.follower.Follow(e.set.Seeds)
 	e.work.Go(func() { e.client.Run(e.ctx) })
 	e.work.Go(e.confirm)
 	e.work.Go(e.publishLoop)
-	e.work.Go(e.shareLoads)
+	e.work.Go(e.reportLoads)
 	e.work.Go(func() {
 		if err := e.server.Serve(e.set.Callers); !errors.Is(err, http.ErrServerClosed) {
 			events.ProcessFailed.Log(e.ports.Log).Err(err).Send()
@@ -151,12 +157,13 @@
 	events.ProcessStarted.Log(e.ports.Log).Str("role", string(link.RoleEntry)).Str("callers", e.set.Callers.Addr().String()).Send()
 }
 
-// confirmPause is the wait after a question to the majority without an answer.
-const confirmPause = 100 * time.Millisecond
+// confirmRetryDelay is the delay after a failed query to the majority.
+const confirmRetryDelay = 100 * time.Millisecond
 
-// confirm asks a majority which revision may be served and which availability zones are
-// evacuated, until it is told. No request is sent before: an entry that has just started
-// must not use a zone that was evacuated while it was down.
+// confirm asks a majority of the control group which revision may be served and which
+// availability zones are evacuated, and retries until it gets an answer. No request is
+// sent to a target before that: an entry that has just started must not use a zone that
+// was evacuated while the entry was down.
 func (e *RoutedEntry) confirm() {
 	for e.ctx.Err() == nil {
 		confirmed, err := e.client.Confirm(e.ctx)
@@ -166,25 +173,26 @@
 			}
 			e.mu.Lock()
 			document, ok := e.gate.Confirm(confirmed.Revision)
-			e.note(document, ok)
+			e.queueDocument(document, ok)
 			e.mu.Unlock()
 			return
 		}
 		select {
 		case <-e.ctx.Done():
-		case <-time.After(confirmPause):
+		case <-time.After(confirmRetryDelay):
 		}
 	}
 }
 
-// loadsAtLeast is the longest time between two reports of this entry's load: the
-// others take an entry that is silent for fleetload.Stale for gone.
-const loadsAtLeast = time.Second
+// loadReportInterval is the maximum time between two reports of this entry's load: the
+// other entries consider an entry gone after fleetload.Stale without a report.
+const loadReportInterval = time.Second
 
-// shareLoads tells the other entries what this one has under way, as soon as that
-// has changed, and all of it once a second.
-func (e *RoutedEntry) shareLoads() {
-	whole := time.NewTicker(loadsAtLeast)
+// reportLoads reports this entry's load to the other entries: changes as soon as they
+// occur, at most one report per registry.MinRoundInterval, and the whole load every
+// loadReportInterval.
+func (e *RoutedEntry) reportLoads() {
+	whole := time.NewTicker(loadReportInterval)
 	defer whole.Stop()
 	for {
 		report := fleetload.Report{Entry: e.set.Instance}
@@ -201,7 +209,7 @@
 	}
 }
 
-// onLoads takes other entries' loads.
+// onLoads applies load reports of other entries.
 func (e *RoutedEntry) onLoads(list []fleetload.Report) {
 	e.loadsMu.Lock()
 	defer e.loadsMu.Unlock()
@@ -212,7 +220,7 @@
 	e.targets.SetOthers(e.loads.Take(now))
 }
 
-// onEvacuated takes the evacuated availability zones.
+// onEvacuated applies a list of evacuated availability zones.
 func (e *RoutedEntry) onEvacuated(list state.Evacuated) {
 	if !e.targets.SetEvacuated(list) {
 		return
@@ -225,7 +233,8 @@
 	e.ports.Metrics.Evacuated(len(zones))
 }
 
-// onLimits takes the limits that targets have named to other entries.
+// onLimits applies the control group's list of the rate limits that targets have stated
+// to any entry.
 func (e *RoutedEntry) onLimits(list state.TargetLimits) {
 	for _, c := range e.targets.ApplyLimits(list) {
 		e.ports.Observer.LimitChanged(nil, c.Target, c.Before, c.After)
@@ -235,37 +244,37 @@
 func (e *RoutedEntry) onConfig(rev api.Revision, document []byte) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	taken, ok := e.gate.Take(rev, document)
-	e.note(taken, ok)
+	released, ok := e.gate.Take(rev, document)
+	e.queueDocument(released, ok)
 }
 
-// note leaves a document to publishLoop. The lock is held.
+// queueDocument passes a document to publishLoop if ok is set. The caller must hold e.mu.
 //
-// A large document takes longer to read than the next one to arrive. Only the newest is read,
-// so that the lag is twice the time of one at most.
-func (e *RoutedEntry) note(document []byte, ok bool) {
+// Parsing a large document can take longer than the time until the next one arrives. Only
+// the newest is parsed, so the delay is at most twice the time for parsing one document.
+func (e *RoutedEntry) queueDocument(document []byte, ok bool) {
 	if !ok {
 		return
 	}
-	e.pending = document
+	e.pendingDocument = document
 	select {
-	case e.taken <- struct{}{}:
+	case e.documentQueued <- struct{}{}:
 	default:
 	}
 }
 
-// publishLoop puts documents in force. It alone does so, so that revisions come in
-// force in order.
+// publishLoop puts documents in force. It is the only goroutine that does, so revisions
+// come in force in order.
 func (e *RoutedEntry) publishLoop() {
 	for {
 		select {
 		case <-e.ctx.Done():
 			return
-		case <-e.taken:
+		case <-e.documentQueued:
 		}
 		e.mu.Lock()
-		document, revision := e.pending, e.gate.Served()
-		e.pending = nil
+		document, revision := e.pendingDocument, e.gate.Served()
+		e.pendingDocument = nil
 		e.mu.Unlock()
 		if document != nil {
 			e.publish(revision, document)
@@ -276,8 +285,8 @@
 func (e *RoutedEntry) publish(revision api.Revision, document []byte) {
 	table, err := e.ports.Decode(document)
 	if err != nil {
-		// A member of a newer version may have accepted what this process can't
-		// read. The last configuration stays in force.
+		// A member of a newer version may have accepted a document that this process
+		// cannot parse. The last configuration stays in force.
 		events.ConfigUnusable.Log(e.ports.Log).Err(err).Uint64("revision", uint64(revision)).Send()
 		return
 	}
@@ -285,21 +294,25 @@
 	events.ConfigInForce.Log(e.ports.Log).Uint64("revision", uint64(revision)).Uint64("version", table.Config.Version).Send()
 }
 
-// Ready tells whether callers are served.
+// Ready reports whether this entry is ready for requests: it is not stopping, has a
+// configuration and knows at least one target.
 func (e *RoutedEntry) Ready() bool {
 	return !e.leaving.Load() && e.live.Load() != nil && e.targets.Len() > 0
 }
 
-// Stop drains: the balancer is told first, then no new connection is taken, and
-// requests in progress go on until the grace is nearly over.
+// Stop drains the entry: it reports that it is not ready, goes on accepting connections
+// until the load balancer has noticed, then closes the listener and lets requests in
+// progress finish. Requests that still run stopMargin before the end of the grace period
+// are cut off.
 func (e *RoutedEntry) Stop(context.Context) error {
 	e.leaving.Store(true)
 	events.ProcessDraining.Log(e.ports.Log).Str("role", string(link.RoleEntry)).Send()
 	ctx, cancel := context.WithTimeout(context.Background(), e.set.Grace-stopMargin)
 	defer cancel()
-	// Kept connections end with their next answer, so that callers go elsewhere.
+	// A caller's connection is closed after its next response, so that the caller connects
+	// to another entry.
 	e.server.SetKeepAlivesEnabled(false)
-	time.Sleep(min(leaveBalancerFor, e.set.Grace/graceShare))
+	time.Sleep(min(balancerDelay, e.set.Grace/balancerDelayDivisor))
 	err := e.server.Shutdown(ctx)
 	if err != nil {
 		events.ProcessHardStop.Log(e.ports.Log).Err(err).Send()
