--- a/node/process/config_test.go
+++ b/node/process/config_test.go
@@ -14,13 +14,15 @@
 	"github.com/rs/zerolog"
 )
 
-// steady answers for a majority that has accepted one revision.
-type steady api.Revision
+// fixedRevision is a majority whose highest accepted revision is always the same.
+type fixedRevision api.Revision
 
-func (s steady) HighestRevision(context.Context) (api.Revision, error) { return api.Revision(s), nil }
+func (s fixedRevision) HighestRevision(context.Context) (api.Revision, error) {
+	return api.Revision(s), nil
+}
 
-// A revision is put in force at an entry. The agent linked to it puts it in
-// force too, over the same link that carries requests, and the entry knows.
+// A revision that is in force at an entry must also come in force at a linked agent. It is
+// sent over the link that carries requests, and the entry must learn the agent's revision.
 func TestConfigurationReachesTheAgentOverThePathLink(t *testing.T) {
 	c := qt.New(t)
 	log := zerolog.Nop()
@@ -28,7 +30,7 @@
 	c.Assert(err, qt.IsNil)
 
 	links := listenLoopback(c)
-	hub := rollout.NewHub(rollout.HubOptions{Source: steady(3)})
+	hub := rollout.NewHub(rollout.HubOptions{Source: fixedRevision(3)})
 	e := NewEntry(EntrySettings{Instance: "e1", Zone: "lhr-a", Key: []byte(fleetKey), Callers: listenLoopback(c), Links: links},
 		EntryPorts{Live: &fleetconfig.Live{}, Hub: hub, Metrics: metrics.New(&log), Log: &log})
 	e.Start()
@@ -38,7 +40,7 @@
 	a.Start()
 	hub.Publish(doc.At(3))
 
-	end := time.Now().Add(patience)
+	end := time.Now().Add(testTimeout)
 	for len(hub.Nodes()) == 0 || hub.Nodes()[0].Revision != 3 {
 		c.Assert(time.Now().Before(end), qt.IsTrue, qt.Commentf("not in force: %v", hub.Nodes()))
 		time.Sleep(10 * time.Millisecond)
@@ -47,7 +49,7 @@
 	c.Assert(hub.Nodes()[0].Instance, qt.Equals, api.InstanceID("g1"))
 	c.Assert(hub.Nodes()[0].Site, qt.Equals, api.Site("lhr"))
 
-	ctx, cancel := context.WithTimeout(context.Background(), patience)
+	ctx, cancel := context.WithTimeout(context.Background(), testTimeout)
 	defer cancel()
 	c.Assert(a.Stop(ctx), qt.IsNil)
 	c.Assert(e.Stop(ctx), qt.IsNil)
--- a/node/process/connections_test.go
+++ b/node/process/connections_test.go
@@ -13,22 +13,23 @@
 	qt "github.com/frankban/quicktest"
 )
 
-// dialled is a caller that keeps its connection open between requests.
-type dialled struct {
+// persistentCaller is a caller that keeps its connection open between requests.
+type persistentCaller struct {
 	c    *qt.C
 	conn net.Conn
 	in   *bufio.Reader
 }
 
-func (f *fleet) dial(url string) *dialled {
+func (f *fleet) dial(url string) *persistentCaller {
 	conn, err := net.Dial("tcp", strings.TrimPrefix(url, "http://"))
 	f.c.Assert(err, qt.IsNil)
 	f.t.Cleanup(func() { _ = conn.Close() })
-	return &dialled{f.c, conn, bufio.NewReader(conn)}
+	return &persistentCaller{f.c, conn, bufio.NewReader(conn)}
 }
 
-// ask lists the models and gives the status and the reason of a refusal.
-func (d *dialled) ask() (int, api.Reason) {
+// listModels requests the list of models and returns the status and the reason of a
+// refusal.
+func (d *persistentCaller) listModels() (int, api.Reason) {
 	_, err := fmt.Fprintf(d.conn, "GET /v1/models HTTP/1.1\r\nHost: t\r\nAuthorization: Bearer %s\r\n\r\n", testKey)
 	d.c.Assert(err, qt.IsNil)
 	resp, err := http.ReadResponse(d.in, nil)
@@ -49,41 +50,42 @@
 	f.c.Assert(f.live.Publish(fleetconfig.Compile(parsed).At(rev, "lhr")), qt.IsTrue)
 }
 
-// The limit of connections is lowered to two while the entry runs. The third
-// caller is told so, with proof that nothing ran, and is cut off; the two go on.
-// It is counted. A place that is given back, or a higher limit, lets the next in.
+// The connection limit is lowered to two while the entry runs. A third caller must be
+// refused with that reason, disconnected and counted, while the other two are served.
+// After the limit is raised or another connection is closed, a new caller must be
+// accepted.
 func TestConnectionLimitFollowsTheConfiguration(t *testing.T) {
 	f := newFleet(t)
 	e := f.entry("e1")
 	f.limitConnections(2, 2)
 	first, second := f.dial(e.url), f.dial(e.url)
-	for _, d := range []*dialled{first, second} {
-		status, _ := d.ask()
+	for _, d := range []*persistentCaller{first, second} {
+		status, _ := d.listModels()
 		f.c.Assert(status, qt.Equals, http.StatusOK)
 	}
 	third := f.dial(e.url)
-	status, reason := third.ask()
+	status, reason := third.listModels()
 	f.c.Assert(status, qt.Equals, http.StatusServiceUnavailable)
 	f.c.Assert(reason, qt.Equals, api.ReasonConnectionLimit)
 	_, err := third.in.ReadByte()
 	f.c.Assert(err, qt.IsNotNil)
-	f.c.Assert(f.refusals(e, api.ReasonConnectionLimit), qt.Equals, 1.0)
-	status, _ = first.ask()
+	f.c.Assert(f.refusalCount(e, api.ReasonConnectionLimit), qt.Equals, 1.0)
+	status, _ = first.listModels()
 	f.c.Assert(status, qt.Equals, http.StatusOK)
 
 	f.limitConnections(3, 3)
-	status, _ = f.dial(e.url).ask()
+	status, _ = f.dial(e.url).listModels()
 	f.c.Assert(status, qt.Equals, http.StatusOK)
 
 	f.c.Assert(second.conn.Close(), qt.IsNil)
-	f.until("a place is given back", func() bool {
-		status, _ := f.dial(e.url).ask()
+	f.until("a new connection is accepted after another is closed", func() bool {
+		status, _ := f.dial(e.url).listModels()
 		return status == http.StatusOK
 	})
 }
 
-// refusals is the count of an entry's refusals for a reason.
-func (f *fleet) refusals(e *testEntry, reason api.Reason) float64 {
+// refusalCount returns the number of requests that an entry has refused for a reason.
+func (f *fleet) refusalCount(e *testEntry, reason api.Reason) float64 {
 	families, err := e.ports.Metrics.Registry.Gather()
 	f.c.Assert(err, qt.IsNil)
 	sum := 0.0
--- a/node/process/control_test.go
+++ b/node/process/control_test.go
@@ -24,7 +24,8 @@
 	"github.com/rs/zerolog"
 )
 
-// controlGroup is control roles over real folders and links, and an operator.
+// controlGroup is a group of control processes with real data directories and links, and
+// an operator client.
 type controlGroup struct {
 	f        *fleet
 	addrs    []string
@@ -70,18 +71,18 @@
 }
 
 func (g *controlGroup) change(kind consensus.ChangeType, id consensus.MemberID, addr string) {
-	g.f.until("change of the group", func() bool {
+	g.f.until("membership change", func() bool {
 		return g.exec(control.Request{Change: &control.MemberChange{Type: kind, ID: id, Addr: addr}}).Outcome == api.OutcomeCompleted
 	})
 }
 
 func (g *controlGroup) exec(req control.Request) *control.Reply {
-	ctx, cancel := context.WithTimeout(context.Background(), patience)
+	ctx, cancel := context.WithTimeout(context.Background(), testTimeout)
 	defer cancel()
 	return g.operator.Exec(ctx, req)
 }
 
-// configure accepts the harness's configuration as the first revision.
+// configure proposes testConf as the first revision and requires that it is accepted.
 func (g *controlGroup) configure() {
 	yaml := fmt.Appendf(nil, testConf, fleetconfig.KeySum(testKey), fleetconfig.KeySum(otherKey))
 	doc, err := fleetconfig.NewDocument(fleetconfig.File{Name: "base.yaml", Data: yaml}, nil)
@@ -92,8 +93,9 @@
 	g.f.c.Assert(r.Result.Config.Accepted, qt.IsTrue)
 }
 
-// controlled is an entry that takes its configuration and claims from a group.
-func (g *controlGroup) controlled(name string) *testEntry {
+// entryWithControl starts an entry that receives its configuration from a control group
+// and sends its claims to it.
+func (g *controlGroup) entryWithControl(name string) *testEntry {
 	f := g.f
 	log := zerolog.Nop()
 	m := metrics.New(&log)
@@ -111,12 +113,12 @@
 	return te
 }
 
-// bookings is a plain service that counts its bookings. gate, when set, holds
-// each one back until it is closed.
+// bookings is a plain service that counts the bookings it receives. If gate is not nil,
+// the service delays each response until gate is closed.
 type bookings struct {
-	addr string
-	ran  atomic.Int64
-	gate chan struct{}
+	addr  string
+	count atomic.Int64
+	gate  chan struct{}
 }
 
 func newBookings(f *fleet, gate chan struct{}) *bookings {
@@ -125,9 +127,9 @@
 	b.addr = ln.Addr().String()
 	srv := &http.Server{Handler: http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		if r.Method != http.MethodPost {
-			return // the agent asks for the load
+			return // a load query of the agent
 		}
-		n := b.ran.Add(1)
+		n := b.count.Add(1)
 		if b.gate != nil {
 			<-b.gate
 		}
@@ -159,16 +161,15 @@
 	return resp.StatusCode, resp.Header.Get(callers.HeaderOutcome), string(b)
 }
 
-// A caller books a seat with an idempotency key, its answer is lost, and it sends
-// the booking again through another entry. It gets the kept answer and the
-// service has seen one booking. The same key with another body is refused. Then
-// one control member of three is lost, which changes nothing, and a second, after
-// which a new booking is refused as not run, and truly isn't.
+// A caller repeats a booking with the same idempotency key through another entry. It must
+// get the stored answer and the service must see one booking. The same key with another
+// body must be refused. The loss of one control member of three must change nothing; after
+// the loss of a second, a new booking must be refused as not run and not reach the service.
 func TestBookingRunsOnceOverEntriesAndLostMembers(t *testing.T) {
 	f := newFleet(t)
 	g := f.controlGroup(3)
 	g.configure()
-	e1, e2 := g.controlled("e1"), g.controlled("e2")
+	e1, e2 := g.entryWithControl("e1"), g.entryWithControl("e2")
 	svc := newBookings(f, nil)
 	f.agent("b1", svc.addr, e1.links, e2.links)
 	f.untilTargets(e1, 1)
@@ -176,7 +177,7 @@
 	status, _, body := f.book(e1, "k1", "{}")
 	f.c.Assert(status, qt.Equals, http.StatusCreated)
 	f.c.Assert(body, qt.Equals, "booking 1")
-	f.until("the kept answer", func() bool {
+	f.until("the stored answer", func() bool {
 		status, _, body = f.book(e2, "k1", "{}")
 		return status == http.StatusCreated
 	})
@@ -184,28 +185,28 @@
 	status, outcome, _ := f.book(e2, "k1", `{"seat":8}`)
 	f.c.Assert(status, qt.Equals, http.StatusUnprocessableEntity)
 	f.c.Assert(outcome, qt.Equals, string(api.OutcomeNotRun))
-	f.c.Assert(svc.ran.Load(), qt.Equals, int64(1))
+	f.c.Assert(svc.count.Load(), qt.Equals, int64(1))
 
-	f.c.Assert(g.stops[0](patience), qt.IsNil)
+	f.c.Assert(g.stops[0](testTimeout), qt.IsNil)
 	f.until("a booking without the first member", func() bool {
 		status, _, body = f.book(e1, "k2", "{}")
 		return status == http.StatusCreated
 	})
 	f.c.Assert(body, qt.Equals, "booking 2")
-	f.c.Assert(g.stops[1](patience), qt.IsNil)
+	f.c.Assert(g.stops[1](testTimeout), qt.IsNil)
 	_, outcome, _ = f.book(e1, "k3", "{}")
 	f.c.Assert(outcome, qt.Equals, string(api.OutcomeNotRun))
-	f.c.Assert(svc.ran.Load(), qt.Equals, int64(2))
+	f.c.Assert(svc.count.Load(), qt.Equals, int64(2))
 }
 
-// The agent is stopped hard while the service holds the booking. Nothing proves
-// whether it ran, so the caller is told unknown; sent again with the same key it
-// still isn't run a second time, though another target is there.
+// The agent is stopped hard while the service processes a booking. Whether the booking
+// ran cannot be known, so the caller must get the outcome unknown. A repetition with the
+// same key must not run it a second time, although another target is available.
 func TestBookingWhoseAgentDiedIsNotRunAgain(t *testing.T) {
 	f := newFleet(t)
 	g := f.controlGroup(1)
 	g.configure()
-	e := g.controlled("e1")
+	e := g.entryWithControl("e1")
 	gate := make(chan struct{})
 	defer close(gate)
 	svc := newBookings(f, gate)
@@ -216,59 +217,59 @@
 		_, outcome, _ := f.book(e, "k1", "{}")
 		first <- outcome
 	}()
-	f.until("the booking at the service", func() bool { return svc.ran.Load() == 1 })
+	f.until("the booking at the service", func() bool { return svc.count.Load() == 1 })
 	_ = stop(0)
 	f.c.Assert(<-first, qt.Equals, string(api.OutcomeUnknown))
 	f.agent("b2", svc.addr, e.links)
 	f.untilTargets(e, 1)
 	_, outcome, _ := f.book(e, "k1", "{}")
 	f.c.Assert(outcome, qt.Equals, string(api.OutcomeUnknown))
-	f.c.Assert(svc.ran.Load(), qt.Equals, int64(1))
+	f.c.Assert(svc.count.Load(), qt.Equals, int64(1))
 }
 
-// An operator drains a target while a note is being written there. The note goes
-// on to its end; both entries see the target as leaving, and new work goes to the
-// other target or is refused as not run once there is none.
+// An operator drains a target while it generates a response. The response must be
+// completed and both entries must see the target as leaving. There is no other target, so a
+// new request must be refused as not run.
 func TestDrainReachesTheAgentAndCutsNothing(t *testing.T) {
 	f := newFleet(t)
 	g := f.controlGroup(1)
 	g.configure()
-	e1, e2 := g.controlled("e1"), g.controlled("e2")
+	e1, e2 := g.entryWithControl("e1"), g.entryWithControl("e2")
 	f.agent("g1", f.engine(standin.Config{Seed: 1}, standin.Options{Speed: 2}), e1.links, e2.links)
 	f.untilTargets(e1, 1)
 	f.untilTargets(e2, 1)
 	s := f.open(e1.url, testKey, "note", 60)
 	s.read(1)
-	asked := time.Now()
+	drainStart := time.Now()
 	r := g.exec(control.Request{Command: &state.Command{Drain: &state.Drain{Target: "g1", Author: "ana"}}})
 	f.c.Assert(r.Outcome, qt.Equals, api.OutcomeCompleted)
 	leaving := func(e *testEntry) bool { v := e.View(); return len(v) == 1 && v[0].Leaving }
 	f.until("leaving at both entries", func() bool { return leaving(e1) && leaving(e2) })
-	t.Logf("known at both entries after %s", time.Since(asked))
+	t.Logf("known at both entries after %s", time.Since(drainStart))
 	refused := f.open(e2.url, testKey, "another", 5)
 	refused.readAll()
 	f.c.Assert(refused.err, qt.IsNotNil)
 	f.c.Assert(refused.err.Outcome, qt.Equals, api.OutcomeNotRun)
 	s.readAll()
 	f.c.Assert(s.err, qt.IsNil)
-	f.c.Assert(s.text.String(), qt.Equals, answerOf(1, "note", 60))
+	f.c.Assert(s.text.String(), qt.Equals, expectedAnswer(1, "note", 60))
 }
 
-// An operator orders a model and then a role while two entries are linked to the
-// target's agent. Both hand over each order; the target gets each once, in the
-// order of the fences, and the second only after the first has ended. An old
-// order that comes to the target past its agent is refused by a target that
-// checks, and is what remains open at one that does not.
+// An operator submits a model load and then a role change while two entries are linked to
+// the target's agent. Both entries forward each order; the target must execute each once, in
+// the order of the fences, and the second only after the first has ended. An old order that
+// reaches the target without passing through its agent is refused only by a target that
+// checks fences.
 func TestOrdersReachTheTargetOnceAndInOrder(t *testing.T) {
-	t.Run("target ignores fences", func(t *testing.T) { ordersInOrder(t, true, http.StatusOK) })
-	t.Run("target checks fences", func(t *testing.T) { ordersInOrder(t, false, http.StatusConflict) })
+	t.Run("target ignores fences", func(t *testing.T) { checkOrderSequence(t, true, http.StatusOK) })
+	t.Run("target checks fences", func(t *testing.T) { checkOrderSequence(t, false, http.StatusConflict) })
 }
 
-func ordersInOrder(t *testing.T, ignore bool, late int) {
+func checkOrderSequence(t *testing.T, ignore bool, late int) {
 	f := newFleet(t)
 	g := f.controlGroup(1)
 	g.configure()
-	e1, e2 := g.controlled("e1"), g.controlled("e2")
+	e1, e2 := g.entryWithControl("e1"), g.entryWithControl("e2")
 	srv, addr := f.standin(standin.Config{Seed: 1, IgnoreFence: ignore}, standin.Options{})
 	f.agent("g1", addr, e1.links, e2.links)
 	f.untilTargets(e1, 1)
@@ -297,8 +298,8 @@
 	f.c.Assert(resp.StatusCode, qt.Equals, late)
 }
 
-// A control member is stopped in the instant in which it starts, before its
-// servers have taken their listeners. It must end all the same.
+// A control member that is stopped immediately after its start, before its servers have
+// taken over their listeners, must still stop.
 func TestControlStopRightAfterStart(t *testing.T) {
 	f := newFleet(t)
 	log := zerolog.Nop()
--- a/node/process/harness_test.go
+++ b/node/process/harness_test.go
@@ -37,11 +37,11 @@
 services: [{id: bookings, path_prefix: /bookings, repeatable: [GET], timeout: 20s}]
 limits: {keepalive: 200ms}
 `
-	// patience bounds a whole test; nothing is asserted of time below it.
-	patience = 60 * time.Second
+	// testTimeout limits the duration of a whole test; tests check no shorter times.
+	testTimeout = 60 * time.Second
 )
 
-// fleet is entries, agents and stand-in engines on loopback in one process.
+// fleet creates entries, agents and stand-in engines on loopback in one process.
 type fleet struct {
 	t    *testing.T
 	c    *qt.C
@@ -63,7 +63,7 @@
 	return ln
 }
 
-// testEntry is an entry role with its addresses.
+// testEntry is an entry process with its addresses.
 type testEntry struct {
 	*Entry
 	url   string
@@ -71,10 +71,11 @@
 	stop  func(grace time.Duration) error
 }
 
-func (f *fleet) entry(name string) *testEntry { return f.entryWriting(name, 0) }
+func (f *fleet) entry(name string) *testEntry { return f.entryWithWriteTimeout(name, 0) }
 
-// entryWriting is an entry with a bound of its own on one write to a caller.
-func (f *fleet) entryWriting(name string, write time.Duration) *testEntry {
+// entryWithWriteTimeout starts an entry with the given maximum duration of one write to
+// a caller.
+func (f *fleet) entryWithWriteTimeout(name string, write time.Duration) *testEntry {
 	log := zerolog.Nop()
 	callers, links := listenLoopback(f.c), listenLoopback(f.c)
 	e := NewEntry(EntrySettings{Instance: api.InstanceID(name), Zone: "lhr-a", Key: []byte(fleetKey), Callers: callers, Links: links, Write: write},
@@ -85,7 +86,8 @@
 	return te
 }
 
-// stopOnce stops a role hard at the end of the test unless the test did before.
+// stopOnce returns a function that stops a role within a grace period. The role is
+// stopped hard at the end of the test unless the test has stopped it before.
 func stopOnce(t *testing.T, stop func(context.Context) error) func(time.Duration) error {
 	var once sync.Once
 	var err error
@@ -137,13 +139,13 @@
 	return a, stopOnce(f.t, a.Stop)
 }
 
-// until waits for a condition that must come about.
+// until waits until a condition holds and fails the test after testTimeout.
 func (f *fleet) until(what string, cond func() bool) {
 	f.t.Helper()
-	deadline := time.Now().Add(patience)
+	deadline := time.Now().Add(testTimeout)
 	for !cond() {
 		if time.Now().After(deadline) {
-			f.t.Fatalf("never came about: %s", what)
+			f.t.Fatalf("timed out waiting for: %s", what)
 		}
 		time.Sleep(time.Millisecond)
 	}
@@ -154,7 +156,7 @@
 	f.until(fmt.Sprintf("%d targets at %s", n, e.url), func() bool { return e.Targets() == n })
 }
 
-// streamed is a streamed generation as its caller sees it.
+// streamed is a streamed response as its caller sees it.
 type streamed struct {
 	resp   *http.Response
 	lines  *bufio.Scanner
@@ -173,7 +175,7 @@
 
 type header struct{ name, value string }
 
-// open asks for a streamed generation of n tokens.
+// open requests a streamed generation of n tokens.
 func (f *fleet) open(url, key, prompt string, n int, headers ...header) *streamed {
 	f.t.Helper()
 	body, err := json.Marshal(map[string]any{
@@ -194,14 +196,14 @@
 	if resp.StatusCode != http.StatusOK {
 		b, err := io.ReadAll(resp.Body)
 		f.c.Assert(err, qt.IsNil)
-		s.take(string(b))
+		s.parseData(string(b))
 	}
 	return s
 }
 
-var testClient = &http.Client{Transport: &http.Transport{DisableKeepAlives: true}, Timeout: patience}
+var testClient = &http.Client{Transport: &http.Transport{DisableKeepAlives: true}, Timeout: testTimeout}
 
-// read takes events until n tokens have come in all, or the stream ends.
+// read reads events until n tokens have arrived in total or the stream ends.
 func (s *streamed) read(n int) {
 	for s.tokens < n && !s.done && s.err == nil && s.lines.Scan() {
 		line := s.lines.Text()
@@ -209,14 +211,14 @@
 			s.lastID = id
 		}
 		if data, ok := strings.CutPrefix(line, "data: "); ok {
-			s.take(data)
+			s.parseData(data)
 		}
 	}
 }
 
 func (s *streamed) readAll() { s.read(1 << 30) }
 
-func (s *streamed) take(data string) {
+func (s *streamed) parseData(data string) {
 	if data == "[DONE]" {
 		s.done = true
 		return
@@ -241,35 +243,35 @@
 	}
 }
 
-// answerOf is the text that a stand-in engine of the given seed gives to a chat
-// prompt. Engines have seeds of their own, so that a text put together from two
-// generations shows.
-func answerOf(seed uint64, prompt string, n int) string {
+// expectedAnswer returns the text that a stand-in engine with the given seed generates
+// for a chat prompt. Engines with different seeds generate different texts, so a test
+// detects a response that is spliced together from two generations.
+func expectedAnswer(seed uint64, prompt string, n int) string {
 	return standin.Config{Seed: seed}.Answer(prompt+"\n", n)
 }
 
-// valve is a TCP relay that can be shut: bytes then wait, as on a stalled link,
-// or the connections can be cut.
-type valve struct {
-	ln    net.Listener
-	to    string
-	mu    sync.Mutex
-	shut  bool
-	open  chan struct{}
-	conns []net.Conn
+// stallingProxy is a TCP proxy that can be stalled, so that bytes wait as on a stalled
+// link, and whose connections can be cut.
+type stallingProxy struct {
+	ln      net.Listener
+	to      string
+	mu      sync.Mutex
+	stalled bool
+	open    chan struct{}
+	conns   []net.Conn
 }
 
-func (f *fleet) valve(to string) *valve {
-	v := &valve{ln: listenLoopback(f.c), to: to, open: make(chan struct{})}
+func (f *fleet) stallingProxy(to string) *stallingProxy {
+	v := &stallingProxy{ln: listenLoopback(f.c), to: to, open: make(chan struct{})}
 	close(v.open)
 	go v.accept()
 	f.t.Cleanup(v.close)
 	return v
 }
 
-func (v *valve) addr() string { return v.ln.Addr().String() }
+func (v *stallingProxy) addr() string { return v.ln.Addr().String() }
 
-func (v *valve) accept() {
+func (v *stallingProxy) accept() {
 	for {
 		in, err := v.ln.Accept()
 		if err != nil {
@@ -288,7 +290,7 @@
 	}
 }
 
-func (v *valve) copy(to, from net.Conn) {
+func (v *stallingProxy) copy(to, from net.Conn) {
 	buf := make([]byte, 4<<10)
 	for {
 		n, err := from.Read(buf)
@@ -308,25 +310,25 @@
 	}
 }
 
-// stall holds all bytes back until resume.
-func (v *valve) stall() {
+// stall holds all bytes back until resume is called.
+func (v *stallingProxy) stall() {
 	v.mu.Lock()
 	defer v.mu.Unlock()
-	v.shut = true
+	v.stalled = true
 	v.open = make(chan struct{})
 }
 
-func (v *valve) resume() {
+func (v *stallingProxy) resume() {
 	v.mu.Lock()
 	defer v.mu.Unlock()
-	if v.shut {
-		v.shut = false
+	if v.stalled {
+		v.stalled = false
 		close(v.open)
 	}
 }
 
-// cut closes every connection; new ones are relayed again.
-func (v *valve) cut() {
+// cut closes every connection. Connections that are opened later are relayed.
+func (v *stallingProxy) cut() {
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	for _, c := range v.conns {
@@ -335,7 +337,7 @@
 	v.conns = nil
 }
 
-func (v *valve) close() {
+func (v *stallingProxy) close() {
 	_ = v.ln.Close()
 	v.resume()
 	v.cut()
--- a/node/process/limits_test.go
+++ b/node/process/limits_test.go
@@ -12,9 +12,9 @@
 	"github.com/rs/zerolog"
 )
 
-// Two entries share a customer's 64 requests over a real link. Callers press on
-// both until all of the limit is in use; it is never passed by more than the
-// slack of 7, wherever the shares have gone.
+// Two entries share a customer's limit of 64 concurrent requests over a link. Requests are
+// started at both until the whole limit is in use. The total must never exceed the limit by
+// more than the slack of 7, however the limit is divided between the entries.
 func TestEntriesShareALimitOverALink(t *testing.T) {
 	f := newFleet(t)
 	log := zerolog.Nop()
@@ -46,9 +46,9 @@
 	})
 }
 
-// No target is there, so that every request is refused as not run. What it was
-// charged at the start must come back: else the customer would soon be told of
-// its token rate instead.
+// Without a target, every request is refused as not run. The tokens charged at its start
+// must be refunded; otherwise the customer would soon be refused for its token rate
+// instead.
 func TestRefusedRequestsCostNoTokens(t *testing.T) {
 	f := newFleet(t)
 	e := f.entry("e1")
--- a/node/process/links_test.go
+++ b/node/process/links_test.go
@@ -15,16 +15,16 @@
 	qt "github.com/frankban/quicktest"
 )
 
-// fakeDials plays the network for a linkKeeper: every dial succeeds but those to
-// addresses that are down.
-type fakeDials struct {
+// fakeDialer simulates the network for a linkManager: every dial succeeds except those to
+// addresses in down.
+type fakeDialer struct {
 	mu      sync.Mutex
 	open    map[string]bool
 	down    map[string]bool
 	retired int
 }
 
-func (f *fakeDials) dial(ctx context.Context, addr string, up func(*link.Conn)) {
+func (f *fakeDialer) dial(ctx context.Context, addr string, onConn func(*link.Conn)) {
 	f.mu.Lock()
 	down := f.down[addr]
 	f.open[addr] = !down
@@ -32,21 +32,21 @@
 	if down {
 		return
 	}
-	up(&link.Conn{})
-	defer up(nil)
+	onConn(&link.Conn{})
+	defer onConn(nil)
 	<-ctx.Done()
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.open[addr] = false
 }
 
-func (f *fakeDials) retire(context.Context, *link.Conn) {
+func (f *fakeDialer) retire(context.Context, *link.Conn) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.retired++
 }
 
-func (f *fakeDials) links() []string {
+func (f *fakeDialer) links() []string {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	var out []string
@@ -59,8 +59,8 @@
 	return out
 }
 
-// entriesTo is a list of entries to link to.
-func entriesTo(ns ...int) []wire.EntryInfo {
+// entryInfos returns a list of entries to link to.
+func entryInfos(ns ...int) []wire.EntryInfo {
 	var out []wire.EntryInfo
 	for _, i := range ns {
 		out = append(out, wire.EntryInfo{Instance: api.InstanceID(fmt.Sprintf("e%d", i)), Zone: api.Zone(fmt.Sprintf("z%d", i%3)), Addr: fmt.Sprintf("addr%d", i)})
@@ -68,10 +68,11 @@
 	return out
 }
 
-// keep runs a keeper with one seed for the length of a test, in virtual time.
-func keep(t *testing.T, test func(c *qt.C, k *linkManager, f *fakeDials)) {
+// runLinkManager runs a linkManager with one seed for the duration of a test, in virtual
+// time.
+func runLinkManager(t *testing.T, test func(c *qt.C, k *linkManager, f *fakeDialer)) {
 	synctest.Test(t, func(t *testing.T) {
-		f := &fakeDials{open: make(map[string]bool), down: make(map[string]bool)}
+		f := &fakeDialer{open: make(map[string]bool), down: make(map[string]bool)}
 		k := newLinkManager(linkManagerSettings{
 			seeds: []string{"addr0"}, spread: linkChangeSpread, dial: f.dial, retire: f.retire,
 		})
@@ -88,15 +89,15 @@
 	})
 }
 
-const movesDone = 3 * linkChangeSpread
+const changesDone = 3 * linkChangeSpread
 
-// An agent starts with one seed and is told of three other entries. It ends up
-// with those three links, and while it moves it is never without one.
+// An agent that starts with one seed receives a list of three other entries. It must end
+// with links to these three and have at least one link at all times.
 func TestAgentMovesFromItsSeedToItsSubset(t *testing.T) {
-	keep(t, func(c *qt.C, k *linkManager, f *fakeDials) {
+	runLinkManager(t, func(c *qt.C, k *linkManager, f *fakeDialer) {
 		c.Assert(f.links(), qt.DeepEquals, []string{"addr0"})
-		k.setList(entriesTo(3, 7, 9))
-		for range movesDone / (100 * time.Millisecond) {
+		k.setList(entryInfos(3, 7, 9))
+		for range changesDone / (100 * time.Millisecond) {
 			time.Sleep(100 * time.Millisecond)
 			c.Assert(len(f.links()) > 0, qt.IsTrue)
 		}
@@ -104,26 +105,26 @@
 	})
 }
 
-// The list changes again before the moves of the last one are due: what was
-// planned from the old list must not shut a link that the new one wants.
+// A new list arrives before the changes for the previous one are due. A change that was
+// scheduled for the old list must not close a link to an entry in the new one.
 func TestMovesOfAnOldListAreLeftOut(t *testing.T) {
-	keep(t, func(c *qt.C, k *linkManager, f *fakeDials) {
+	runLinkManager(t, func(c *qt.C, k *linkManager, f *fakeDialer) {
 		for _, list := range [][]int{{1, 2, 3}, {2, 3, 4}, {1, 3, 5}, {0, 6, 7}, {1, 2, 3}} {
-			k.setList(entriesTo(list...))
+			k.setList(entryInfos(list...))
 			time.Sleep(linkChangeSpread / 3)
 		}
-		time.Sleep(movesDone)
+		time.Sleep(changesDone)
 		c.Assert(f.links(), qt.DeepEquals, []string{"addr1", "addr2", "addr3"})
 	})
 }
 
-// All entries that the agent knows are replaced at once and no list reaches it.
-// It goes back to its seeds instead of dialling dead addresses for ever.
+// All entries that the agent knows are replaced at once and it receives no new list. It must
+// dial its seeds again instead of dialling unreachable addresses for ever.
 func TestStrandedAgentGoesBackToItsSeeds(t *testing.T) {
-	keep(t, func(c *qt.C, k *linkManager, f *fakeDials) {
-		list := entriesTo(1, 2, 3)
+	runLinkManager(t, func(c *qt.C, k *linkManager, f *fakeDialer) {
+		list := entryInfos(1, 2, 3)
 		k.setList(list)
-		time.Sleep(movesDone)
+		time.Sleep(changesDone)
 		c.Assert(f.links(), qt.Not(qt.Contains), "addr0")
 		f.mu.Lock()
 		for _, e := range list {
--- a/node/process/pace_test.go
+++ b/node/process/pace_test.go
@@ -12,10 +12,10 @@
 	qt "github.com/frankban/quicktest"
 )
 
-// An operator bounds the loads from the weight store to one over the fleet, then
-// to two, through the control group. The group hands out as many and tells the
-// next agent to wait, without a restart of any member. A pace that the sender
-// of the change makes up counts for nothing: the member reads it from the document.
+// The configuration limits concurrent model loads from the weight store to one in the whole
+// fleet, then to two. The control group must hand out that many load orders and refuse the
+// next, without a restart of any member. A pace that the sender of the change sets must be
+// ignored: the member reads it from the document.
 func TestWeightStoreOfTheConfigurationPacesLoads(t *testing.T) {
 	f := newFleet(t)
 	g := f.controlGroup(3)
--- a/node/process/path_test.go
+++ b/node/process/path_test.go
@@ -25,17 +25,17 @@
 	s := f.open(e.url, testKey, "notes", 200)
 	s.readAll()
 	f.c.Assert(s.done, qt.IsTrue)
-	f.c.Assert(s.text.String(), qt.Equals, answerOf(1, "notes", 200))
+	f.c.Assert(s.text.String(), qt.Equals, expectedAnswer(1, "notes", 200))
 }
 
-// One of two engines reads its first request and closes the connection without
-// a token. Nothing was delivered, so the request is started on the other target,
-// and every caller gets one engine's whole answer without noticing.
+// Two of three engines close the connection of their first request without a token. No
+// token was delivered to the caller, so the request must be retried on another target, and
+// every caller must get one engine's complete answer without an error.
 func TestEngineDiesBeforeFirstTokenMovesTheRequest(t *testing.T) {
 	f := newFleet(t)
 	e := f.entry("e1")
-	// Both engines cut their first request, so that the one which is asked first
-	// is a faulty one, whichever that is.
+	// Two engines fail their first request, so that a failure occurs unless all requests
+	// go to the third.
 	cut := standin.Options{Faults: standin.Faults{CutAtRequest: 1}}
 	f.agent("g1", f.engine(standin.Config{Seed: 1}, cut), e.links)
 	f.agent("g2", f.engine(standin.Config{Seed: 1}, cut), e.links)
@@ -46,16 +46,16 @@
 		wg.Go(func() {
 			s := f.open(e.url, testKey, "notes", 50)
 			s.readAll()
-			f.c.Check(s.text.String(), qt.Equals, answerOf(1, "notes", 50))
+			f.c.Check(s.text.String(), qt.Equals, expectedAnswer(1, "notes", 50))
 			f.c.Check(s.done, qt.IsTrue)
 		})
 	}
 	wg.Wait()
 }
 
-// The engine is killed after 40 tokens were delivered. The caller must be told
-// that the answer was interrupted: another engine would write another answer,
-// and the end of one must never be joined to the beginning of the other.
+// The engine dies after it has generated 40 tokens. The caller must be told that the answer
+// was interrupted: another engine would generate a different answer, and parts of two
+// answers must never be joined.
 func TestEngineDiesMidAnswerInterruptsAndNeverSplices(t *testing.T) {
 	f := newFleet(t)
 	e := f.entry("e1")
@@ -69,16 +69,16 @@
 	f.c.Assert(s.done, qt.IsFalse)
 	f.c.Assert(s.err, qt.IsNotNil)
 	f.c.Assert(s.err.Outcome, qt.Equals, api.OutcomeInterrupted)
-	f.c.Assert(strings.HasPrefix(answerOf(1, "notes", 200), s.text.String()), qt.IsTrue)
+	f.c.Assert(strings.HasPrefix(expectedAnswer(1, "notes", 200), s.text.String()), qt.IsTrue)
 }
 
-// The link between agent and entry is cut again and again while tokens flow.
-// The agent dials anew, the entry asks for the rest from its offset, and the
-// caller gets every token once, in order.
+// The link between agent and entry is cut repeatedly while tokens are streamed. The agent
+// dials again, the entry requests the rest from its offset, and the caller must get every
+// token once, in order.
 func TestCutLinkResumesWithoutLossOrRepeat(t *testing.T) {
 	f := newFleet(t)
 	e := f.entry("e1")
-	v := f.valve(e.links)
+	v := f.stallingProxy(e.links)
 	f.agent("g1", f.engine(standin.Config{Seed: 1}, standin.Options{}), v.addr())
 	f.untilTargets(e, 1)
 	s := f.open(e.url, testKey, "notes", 600)
@@ -88,15 +88,15 @@
 	}
 	s.readAll()
 	f.c.Assert(s.err, qt.IsNil)
-	f.c.Assert(s.text.String(), qt.Equals, answerOf(1, "notes", 600))
+	f.c.Assert(s.text.String(), qt.Equals, expectedAnswer(1, "notes", 600))
 }
 
-// The link stalls with frames in flight and then delivers them late. The caller
-// sees comment lines meanwhile and afterwards the rest, once and in order.
+// The link stalls with frames in flight and delivers them late. The caller must get comment
+// lines meanwhile and the rest of the answer afterwards, once and in order.
 func TestStalledLinkDeliversLate(t *testing.T) {
 	f := newFleet(t)
 	e := f.entry("e1")
-	v := f.valve(e.links)
+	v := f.stallingProxy(e.links)
 	f.agent("g1", f.engine(standin.Config{Seed: 1}, standin.Options{}), v.addr())
 	f.untilTargets(e, 1)
 	s := f.open(e.url, testKey, "notes", 400)
@@ -104,19 +104,19 @@
 	v.stall()
 	for s.lines.Scan() {
 		if strings.HasPrefix(s.lines.Text(), ": ") {
-			break // a sign of life while nothing arrives
+			break // a keep-alive comment while the link is stalled
 		}
 		if data, ok := strings.CutPrefix(s.lines.Text(), "data: "); ok {
-			s.take(data)
+			s.parseData(data)
 		}
 	}
 	v.resume()
 	s.readAll()
-	f.c.Assert(s.text.String(), qt.Equals, answerOf(1, "notes", 400))
+	f.c.Assert(s.text.String(), qt.Equals, expectedAnswer(1, "notes", 400))
 }
 
-// The agent process is replaced in mid-answer: its successor has another
-// incarnation and knows nothing of the request. The caller is told interrupted.
+// The agent process is replaced during an answer. The new process has another incarnation
+// and does not know the request, so the caller must get the outcome interrupted.
 func TestAgentReplacedMidAnswerInterrupts(t *testing.T) {
 	f := newFleet(t)
 	e := f.entry("e1")
@@ -132,9 +132,9 @@
 	f.c.Assert(s.err.Outcome, qt.Equals, api.OutcomeInterrupted)
 }
 
-// The entry dies. The caller comes back through the other entry with its
-// request ID and last event ID and gets the rest of the same generation, which
-// the agent has kept going. Another customer with the same IDs gets nothing.
+// The entry dies. The caller resumes through another entry with its request ID and last
+// event ID and must get the rest of the same generation, which the agent has continued.
+// Another customer with the same IDs must be refused.
 func TestCallerComesBackThroughAnotherEntry(t *testing.T) {
 	f := newFleet(t)
 	e1, e2 := f.entry("e1"), f.entry("e2")
@@ -145,21 +145,21 @@
 	s.read(50)
 	_ = e1.stop(0)
 	id, last := s.resp.Header.Get(callers.HeaderRequestID), s.lastID
-	back := []header{{callers.HeaderRequestID, id}, {"Last-Event-ID", last}}
-	stranger := f.open(e2.url, otherKey, "notes", 800, back...)
-	f.c.Assert(stranger.err, qt.IsNotNil)
-	f.c.Assert(stranger.err.Code, qt.Equals, api.ReasonTargetGone)
-	rest := f.open(e2.url, testKey, "notes", 800, back...)
+	resume := []header{{callers.HeaderRequestID, id}, {"Last-Event-ID", last}}
+	otherCustomer := f.open(e2.url, otherKey, "notes", 800, resume...)
+	f.c.Assert(otherCustomer.err, qt.IsNotNil)
+	f.c.Assert(otherCustomer.err.Code, qt.Equals, api.ReasonTargetGone)
+	rest := f.open(e2.url, testKey, "notes", 800, resume...)
 	rest.readAll()
 	f.c.Assert(rest.err, qt.IsNil)
 	f.c.Assert(rest.done, qt.IsTrue)
-	f.c.Assert(s.text.String()+rest.text.String(), qt.Equals, answerOf(1, "notes", 800))
+	f.c.Assert(s.text.String()+rest.text.String(), qt.Equals, expectedAnswer(1, "notes", 800))
 }
 
 const openStreams = 200
 
-// SIGTERM reaches the entry while 200 streams are open. None may be cut off:
-// the listener closes, every stream runs to its end, then the process goes.
+// The entry is stopped, as on SIGTERM, while 200 streams are open. None may be cut off: the listener is
+// closed, every stream runs to its end, then the entry stops.
 func TestEntryStopCutsNoStream(t *testing.T) {
 	f := newFleet(t)
 	e := f.entry("e1")
@@ -167,14 +167,14 @@
 	f.untilTargets(e, 1)
 	all := openMany(f, e.url, 60)
 	stopped := make(chan error, 1)
-	go func() { stopped <- e.stop(patience) }()
+	go func() { stopped <- e.stop(testTimeout) }()
 	checkMany(f, all, 60)
 	f.c.Assert(<-stopped, qt.IsNil)
 }
 
-// SIGTERM reaches the agent while 200 streams are placed there. What runs goes
-// on to its end; what still waits is handed back as not run and is started on
-// the other target. No caller notices, and the leaving target gets no new work.
+// The agent is stopped, as on SIGTERM, while 200 streams are placed on it. Running requests
+// must finish, and waiting ones must be returned as not run and started on the other target, without an
+// error for any caller.
 func TestAgentStopCutsNoStream(t *testing.T) {
 	f := newFleet(t)
 	e := f.entry("e1")
@@ -185,7 +185,7 @@
 	f.agent("g2", f.engine(standin.Config{Seed: 1}, standin.Options{}), e.links)
 	f.untilTargets(e, 2)
 	stopped := make(chan error, 1)
-	go func() { stopped <- stop1(patience) }()
+	go func() { stopped <- stop1(testTimeout) }()
 	checkMany(f, all, 60)
 	f.c.Assert(<-stopped, qt.IsNil)
 }
@@ -209,13 +209,13 @@
 	wg.Wait()
 	for i, s := range all {
 		f.c.Assert(s.err, qt.IsNil, qt.Commentf("stream %d", i))
-		f.c.Assert(s.text.String(), qt.Equals, answerOf(1, fmt.Sprintf("note %d", i), tokens))
+		f.c.Assert(s.text.String(), qt.Equals, expectedAnswer(1, fmt.Sprintf("note %d", i), tokens))
 	}
 }
 
-// A bookings service reads a booking and closes the connection without an
-// answer. The call may have been made, so nobody may send it again: the service
-// must see it exactly once, and the caller is told that the outcome is unknown.
+// A service reads a booking and closes the connection without an answer. The booking may
+// have been made, so it must not be sent again: the service must see it exactly once, and
+// the caller must get the outcome unknown.
 func TestBookingIsNeverSentTwice(t *testing.T) {
 	f := newFleet(t)
 	e := f.entry("e1")
@@ -229,8 +229,8 @@
 	f.c.Assert(svc.seen.Load(), qt.Equals, int64(1))
 }
 
-// The same service on a repeatable method: the call is tried again on the other
-// target, since running it twice does no harm.
+// With a repeatable method, the call must be retried on the other target, since running it
+// twice does no harm.
 func TestRepeatableCallIsTriedAgain(t *testing.T) {
 	f := newFleet(t)
 	e := f.entry("e1")
@@ -260,7 +260,8 @@
 	return resp.StatusCode, resp.Header.Get(callers.HeaderOutcome)
 }
 
-// closingService reads each request whole and closes the connection.
+// closingService is a service that reads each request completely and closes the
+// connection.
 type closingService struct {
 	addr string
 	seen atomic.Int64
@@ -282,8 +283,8 @@
 	return s
 }
 
-// A caller hangs up. Its generation must not go on occupying a crowded engine:
-// it is cancelled there although no token is due to be written.
+// A caller disconnects while the engine generates no tokens. The generation must be
+// cancelled at once, not only at the next write, so that it does not go on using the engine.
 func TestCallerGoneCancelsTheGeneration(t *testing.T) {
 	f := newFleet(t)
 	e := f.entry("e1")
@@ -335,8 +336,8 @@
 	}
 }
 
-// A plain HTTP client that is not an agent connects to the port for links, and
-// so does an agent of another fleet. Neither gets anything; the entry goes on.
+// A plain HTTP client and a bare TCP connection that is closed at once reach the port for
+// links. Neither may count as a target.
 func TestLinkPortRefusesStrangers(t *testing.T) {
 	f := newFleet(t)
 	e := f.entry("e1")
@@ -350,26 +351,26 @@
 	f.c.Assert(e.Targets(), qt.Equals, 0)
 }
 
-// The process is stopped in the instant in which it starts, before its servers
-// have taken their listeners. It must end all the same.
+// An entry that is stopped immediately after its start, before its servers have taken over
+// their listeners, must still stop.
 func TestStopRightAfterStart(t *testing.T) {
 	f := newFleet(t)
 	for range 50 {
 		e := f.entry("e1")
-		_ = e.stop(patience)
+		_ = e.stop(testTimeout)
 	}
 }
 
-// A generation takes longer than the bound on one write to its caller. The bound
-// is there for a caller that does not read; one that reads must get the whole
-// answer, however long it takes.
+// A generation takes longer than the maximum duration of one write to its caller. That
+// limit is for callers that do not read; a caller that reads must get the whole answer,
+// however long it takes.
 func TestStreamOutlivesTheBoundOfOneWrite(t *testing.T) {
 	f := newFleet(t)
-	e := f.entryWriting("e1", 200*time.Millisecond)
+	e := f.entryWithWriteTimeout("e1", 200*time.Millisecond)
 	f.agent("g1", f.engine(standin.Config{Seed: 1}, standin.Options{Speed: 1}), e.links)
 	f.untilTargets(e, 1)
 	s := f.open(e.url, testKey, "notes", 100)
 	s.readAll()
 	f.c.Assert(s.err, qt.IsNil)
-	f.c.Assert(s.text.String(), qt.Equals, answerOf(1, "notes", 100))
+	f.c.Assert(s.text.String(), qt.Equals, expectedAnswer(1, "notes", 100))
 }
--- a/node/process/routed_test.go
+++ b/node/process/routed_test.go
@@ -28,7 +28,7 @@
 	"github.com/rs/zerolog"
 )
 
-// routedGroup is a control group on loopback that founds itself.
+// routedGroup is a control group on loopback that founds itself without an operator.
 type routedGroup struct {
 	c       *qt.C
 	links   []string
@@ -43,7 +43,7 @@
 	return ln.Addr().String()
 }
 
-func foundRoutedGroup(t *testing.T, n int) *routedGroup {
+func newRoutedGroup(t *testing.T, n int) *routedGroup {
 	g := &routedGroup{c: qt.New(t), members: make([]*RoutedControl, n)}
 	for range n {
 		g.links = append(g.links, freeAddress(g.c))
@@ -77,8 +77,8 @@
 	}
 }
 
-// until waits for something that the processes come to by themselves; a test that
-// waits in vain ends by the package's time limit.
+// until waits until a condition holds. A test whose condition never holds is ended by the
+// time limit of the package's tests.
 func until(done func() bool) {
 	for !done() {
 		time.Sleep(5 * time.Millisecond)
@@ -93,22 +93,21 @@
 
 func document(version uint64) []byte { return binary.BigEndian.AppendUint64(nil, version) }
 
-func (g *routedGroup) holds(i int, version uint64) {
+func (g *routedGroup) waitForDocument(i int, version uint64) {
 	until(func() bool {
 		d, ok := g.members[i].Get(context.Background())
 		return ok && string(d) == string(document(version))
 	})
 }
 
-// Operators see a group that founds itself, and that gets over a member whose disk
-// is lost: it comes back empty at its old address, joins as another member, and the
-// identity that was lost no longer counts. Were it counted, the next loss would
-// stop all changes.
+// A group must found itself and recover from a member that loses its disk: the member
+// returns with an empty disk at its old address and joins under a new ID, and its old ID is
+// removed from the voters. If it stayed, the loss of one more member would stop all changes.
 func TestRoutedGroupFoundsAndMendsItself(t *testing.T) {
-	g := foundRoutedGroup(t, 3)
+	g := newRoutedGroup(t, 3)
 	g.put(0, 5)
 	for i := range 3 {
-		g.holds(i, 5)
+		g.waitForDocument(i, 5)
 	}
 	g.stop(1)
 	g.c.Assert(os.RemoveAll(g.dirs[1]), qt.IsNil)
@@ -121,17 +120,17 @@
 		st := role.Member().Status()
 		return st.Membership.IsVoter(st.ID) && len(st.Membership.Voters) == 3
 	})
-	// The group bears another loss now.
+	// The group must survive the loss of another member now.
 	g.stop(2)
 	g.put(1, 9)
-	g.holds(0, 9)
-	g.holds(1, 9)
+	g.waitForDocument(0, 9)
+	g.waitForDocument(1, 9)
 }
 
-// All members lose their processes at once. What was accepted is still there, and
-// an older document that is sent again changes nothing.
+// All members are stopped at once. An accepted document must survive that, and a document
+// with an older version that is sent afterwards must change nothing.
 func TestRoutedGroupKeepsWhatItAccepted(t *testing.T) {
-	g := foundRoutedGroup(t, 3)
+	g := newRoutedGroup(t, 3)
 	g.put(2, 7)
 	for i := range 3 {
 		g.stop(i)
@@ -141,11 +140,11 @@
 	}
 	g.put(1, 3)
 	for i := range 3 {
-		g.holds(i, 7)
+		g.waitForDocument(i, 7)
 	}
 }
 
-// headerDialect reads nothing but a request's ID.
+// headerDialect reads only the request ID from a request and a rate limit from a response.
 type headerDialect struct{}
 
 func (headerDialect) Ask(h http.Header) (relay.Ask, error) {
@@ -168,14 +167,15 @@
 	return "", errors.New("no engines")
 }
 
-// wholeAnswers is a target that answers every request.
-func wholeAnswers(t *testing.T) *httptest.Server {
+// newTarget starts a target that answers every request.
+func newTarget(t *testing.T) *httptest.Server {
 	target := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) { fmt.Fprint(w, "whole answer") }))
 	t.Cleanup(target.Close)
 	return target
 }
 
-// startRoutedEntry runs an entry of the group and gives the address for its callers.
+// startRoutedEntry starts an entry that uses the group and returns it with the URL for
+// callers.
 func startRoutedEntry(g *routedGroup) (*RoutedEntry, string) {
 	return startObservedEntry(g, func(m *metrics.Relay) relay.Observer { return m })
 }
@@ -207,41 +207,41 @@
 	return entry, "http://" + ln.Addr().String() + "/x"
 }
 
-// get gives the status of a caller's request.
-func (g *routedGroup) get(url string) int {
+// getStatus sends a caller's request and returns its status.
+func (g *routedGroup) getStatus(url string) int {
 	resp, err := http.Get(url)
 	g.c.Assert(err, qt.IsNil)
 	resp.Body.Close()
 	return resp.StatusCode
 }
 
-// A caller's request goes by the configuration that the operator sent to one member
-// to a target that announced itself at another; once the target leaves, no more.
+// A request must be routed by the configuration that was sent to one member, to a target that
+// announced itself at another member. Once the target leaves, requests must be refused.
 func TestRoutedPathFromAnnouncementToAnswer(t *testing.T) {
-	g := foundRoutedGroup(t, 3)
-	target := wholeAnswers(t)
+	g := newRoutedGroup(t, 3)
+	target := newTarget(t)
 	entry, callers := startRoutedEntry(g)
 
 	g.put(0, 1)
 	record := directory.Record{Target: "t", Service: "s", Address: target.Listener.Addr().String(), Zone: "z", Slots: 1, Sequence: 1, State: directory.StateReady}
 	g.members[2].Announce(record)
 	until(entry.Ready)
-	g.c.Assert(g.get(callers), qt.Equals, http.StatusOK)
+	g.c.Assert(g.getStatus(callers), qt.Equals, http.StatusOK)
 
 	record.Sequence, record.State = 2, directory.StateLeaving
 	g.members[2].Announce(record)
-	until(func() bool { return g.get(callers) == http.StatusServiceUnavailable })
+	until(func() bool { return g.getStatus(callers) == http.StatusServiceUnavailable })
 }
 
 func (g *routedGroup) evacuate(i int, zone api.Zone, finish bool) {
 	until(func() bool { return g.members[i].Evacuate(context.Background(), zone, finish) == nil })
 }
 
-// TestEvacuationOutlivesEverything guards against an evacuation that is forgotten when all
-// members stop, and against an entry that starts after it and sends to the zone before it
-// has heard of it.
+// TestEvacuationOutlivesEverything guards against an evacuation that is lost when all members
+// stop, and against an entry that starts later and uses the zone before it has received the
+// evacuation.
 func TestEvacuationOutlivesEverything(t *testing.T) {
-	g := foundRoutedGroup(t, 3)
+	g := newRoutedGroup(t, 3)
 	g.put(0, 1)
 	g.evacuate(1, "z", false)
 	for i := range 3 {
@@ -250,22 +250,22 @@
 	for i := range 3 {
 		g.start(i, false)
 	}
-	target := wholeAnswers(t)
+	target := newTarget(t)
 	record := directory.Record{Target: "t", Service: "s", Address: target.Listener.Addr().String(), Zone: "z", Slots: 1, Sequence: 1, State: directory.StateReady}
 	g.members[2].Announce(record)
 	entry, callers := startRoutedEntry(g)
 	until(entry.Ready)
-	g.c.Assert(g.get(callers), qt.Equals, http.StatusServiceUnavailable)
-	// An entry that runs hears of both orders, whichever member is asked.
+	g.c.Assert(g.getStatus(callers), qt.Equals, http.StatusServiceUnavailable)
+	// A running entry must receive both orders, whichever member they are sent to.
 	g.evacuate(2, "z", true)
-	until(func() bool { return g.get(callers) == http.StatusOK })
+	until(func() bool { return g.getStatus(callers) == http.StatusOK })
 	g.evacuate(0, "z", false)
-	until(func() bool { return g.get(callers) == http.StatusServiceUnavailable })
+	until(func() bool { return g.getStatus(callers) == http.StatusServiceUnavailable })
 }
 
-// An order for a zone that the settings do not name never takes effect.
+// An order for a zone that the settings do not name must be refused.
 func TestEvacuationOfAnUnknownZoneIsRefused(t *testing.T) {
-	g := foundRoutedGroup(t, 1)
+	g := newRoutedGroup(t, 1)
 	g.members[0].set.Regions = map[api.Zone]api.Region{"z": "r"}
 	err := g.members[0].Evacuate(context.Background(), "y", false)
 	g.c.Assert(errors.Is(err, ErrUnknownZone), qt.IsTrue)
@@ -273,22 +273,23 @@
 	g.evacuate(0, "z", false)
 }
 
-// limitObserver notes what the group tells of a target's limit.
+// limitObserver records the changes of a target's limit that an entry receives from the
+// control group.
 type limitObserver struct {
 	*metrics.Relay
-	told chan targetlimit.Statement
+	statements chan targetlimit.Statement
 }
 
 // LimitChanged implements relay.Observer.
 func (o limitObserver) LimitChanged(r *relay.Request, t *relay.Target, before, after targetlimit.Statement) {
 	o.Relay.LimitChanged(r, t, before, after)
 	if r == nil {
-		o.told <- after
+		o.statements <- after
 	}
 }
 
-// TestLimitOutlivesMembersAndEntries guards against a target's limit that is forgotten when all
-// members stop, and against an entry that starts after it was named and sends what it likes.
+// TestLimitOutlivesMembersAndEntries guards against a target's limit that is lost when all members
+// stop, and against an entry that starts later and does not respect the limit.
 func TestLimitOutlivesMembersAndEntries(t *testing.T) {
 	const limit, burst = 2, 60
 	var arrived atomic.Int64
@@ -298,7 +299,7 @@
 		fmt.Fprint(w, "whole answer")
 	}))
 	t.Cleanup(target.Close)
-	g := foundRoutedGroup(t, 3)
+	g := newRoutedGroup(t, 3)
 	g.put(0, 1)
 	record := directory.Record{Target: "t", Service: "s", Address: target.Listener.Addr().String(), Zone: "z", Slots: 1, Sequence: 1, State: directory.StateReady}
 	g.members[2].Announce(record)
@@ -307,10 +308,10 @@
 	first, callers := startRoutedEntry(g)
 	until(first.Ready)
 	until(other.Ready)
-	g.c.Assert(g.get(callers), qt.Equals, http.StatusOK)
-	heard := <-told
-	g.c.Assert(heard.Limited, qt.IsTrue)
-	g.c.Assert(heard.Rate, qt.Equals, float64(limit))
+	g.c.Assert(g.getStatus(callers), qt.Equals, http.StatusOK)
+	statement := <-told
+	g.c.Assert(statement.Limited, qt.IsTrue)
+	g.c.Assert(statement.Rate, qt.Equals, float64(limit))
 
 	for i := range 3 {
 		g.stop(i)
@@ -326,10 +327,10 @@
 	began := time.Now()
 	var all sync.WaitGroup
 	for range burst {
-		all.Go(func() { g.get(callers) })
+		all.Go(func() { g.getStatus(callers) })
 	}
 	all.Wait()
-	// What the pace allows in the time that the burst took, however long that was.
-	most := limit*(time.Since(began).Seconds()+1) + 1
-	g.c.Assert(float64(arrived.Load()) <= most, qt.IsTrue, qt.Commentf("%d of %.1f", arrived.Load(), most))
+	// The number of requests that the limit allows in the time that the burst took.
+	maxArrived := limit*(time.Since(began).Seconds()+1) + 1
+	g.c.Assert(float64(arrived.Load()) <= maxArrived, qt.IsTrue, qt.Commentf("%d of %.1f", arrived.Load(), maxArrived))
 }
--- a/node/process/told_test.go
+++ b/node/process/told_test.go
@@ -16,9 +16,9 @@
 	qt "github.com/frankban/quicktest"
 )
 
-// The agent takes the request and says "queued"; only then it finds that its
-// engine cannot be reached. The caller gets the failure with its own status and
-// the proof of not_run, not an error inside a stream of status 200.
+// The agent queues the request and then finds that its engine is unreachable. The caller
+// must get the failure with its own status and the outcome not_run, not as an error in a
+// stream with status 200.
 func TestEarlyFailureHasItsOwnStatus(t *testing.T) {
 	f := newFleet(t)
 	e := f.entry("e1")
@@ -33,8 +33,8 @@
 	f.c.Assert(s.resp.Header.Get(callers.HeaderReason), qt.Equals, string(api.ReasonEngineUnreachable))
 }
 
-// The engine takes the request and is silent. The caller sees the stream open all
-// the same, with the phases that came meanwhile, while nothing has been produced.
+// The engine accepts the request and sends nothing. The caller must still see the stream
+// open and get a comment line, although nothing has been generated.
 func TestWaitingCallerSeesTheStreamOpen(t *testing.T) {
 	f := newFleet(t)
 	e := f.entry("e1")
@@ -48,8 +48,8 @@
 	f.c.Assert(strings.HasPrefix(s.lines.Text(), ": "), qt.IsTrue, qt.Commentf("%s", s.lines.Text()))
 }
 
-// A caller comes back to its stream. Both headers name its request, as on the
-// first answer: who logs either finds the one request.
+// A caller resumes its stream. Both headers must hold the ID of the original request, as in
+// the first response, so that logs of either ID lead to the same request.
 func TestComingBackNamesTheOldRequest(t *testing.T) {
 	f := newFleet(t)
 	e := f.entry("e1")
@@ -65,8 +65,8 @@
 	f.c.Assert(again.resp.Header.Get("X-Request-Id"), qt.Equals, id)
 }
 
-// values gives a counter or gauge by its label, without those at zero.
-func values(f *fleet, m *metrics.Set, name string) map[string]float64 {
+// metricValues returns the values of a counter or gauge by its first label, without zeros.
+func metricValues(f *fleet, m *metrics.Set, name string) map[string]float64 {
 	families, err := m.Registry.Gather()
 	f.c.Assert(err, qt.IsNil)
 	out := make(map[string]float64)
@@ -83,15 +83,15 @@
 	return out
 }
 
-func counts(f *fleet, e *testEntry, name string) map[string]float64 {
-	return values(f, e.ports.Metrics, name)
+func entryMetricValues(f *fleet, e *testEntry, name string) map[string]float64 {
+	return metricValues(f, e.ports.Metrics, name)
 }
 
-const refusals = "almondseam_refusals_total"
+const refusalsMetric = "almondseam_refusals_total"
 
-// A stream, a JSON answer and a service's body each break off after their status
-// 200, and a request is refused before it. Whoever watches the counter sees each
-// once, under the reason that the caller was told.
+// A stream, a JSON response and the response body of a service break off after status 200,
+// and a request is refused before it. Each must be counted once, under the reason of the
+// failure.
 func TestEveryEndShortIsCountedOnce(t *testing.T) {
 	die := standin.Faults{DieAtRequest: 1, DieAfterTokens: 40}
 	for _, tc := range []struct {
@@ -106,13 +106,13 @@
 			return f.open(e.url, testKey, "notes", 200).resp
 		}},
 		{"JSON", http.StatusOK, api.ReasonEngineDied, func(f *fleet, e *testEntry) *http.Response {
-			// Forty steps of at least 10 ms pass the keep-alive of 200 ms.
+			// Forty steps of at least 10 ms take longer than the keep-alive interval of 200 ms.
 			f.agent("g1", f.engine(standin.Config{Seed: 1}, standin.Options{Faults: die, Speed: 1}), e.links)
 			f.untilTargets(e, 1)
 			return f.ask(e.url+"/v1/chat/completions", `{"model":"standin","x_output_tokens":200,"messages":[{"role":"user","content":"x"}]}`)
 		}},
 		{"service", http.StatusOK, api.ReasonEngineTruncated, func(f *fleet, e *testEntry) *http.Response {
-			f.agent("b1", shortService(f), e.links)
+			f.agent("b1", newTruncatingService(f), e.links)
 			f.untilTargets(e, 1)
 			return f.ask(e.url+"/bookings/seat/7", "{}")
 		}},
@@ -126,7 +126,7 @@
 			resp := tc.ask(f, e)
 			f.c.Assert(resp.StatusCode, qt.Equals, tc.status)
 			_, _ = io.Copy(io.Discard, resp.Body)
-			f.c.Assert(counts(f, e, refusals), qt.DeepEquals, map[string]float64{string(tc.want): 1})
+			f.c.Assert(entryMetricValues(f, e, refusalsMetric), qt.DeepEquals, map[string]float64{string(tc.want): 1})
 		})
 	}
 }
@@ -141,39 +141,40 @@
 	return resp
 }
 
-const shortBody = 128 << 10
+const truncatedLength = 128 << 10
 
-// shortService announces a longer body than it gives; what it gives is more than
-// the entry's write buffer, so that the status goes out before the end is known.
-func shortService(f *fleet) string {
+// newTruncatingService starts a service that announces a longer body than it sends. The part
+// that it sends is larger than the entry's write buffer, so the status is sent before the
+// failure is known.
+func newTruncatingService(f *fleet) string {
 	srv := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		w.Header().Set("Content-Length", strconv.Itoa(2*shortBody))
-		_, _ = io.WriteString(w, strings.Repeat("x", shortBody))
+		w.Header().Set("Content-Length", strconv.Itoa(2*truncatedLength))
+		_, _ = io.WriteString(w, strings.Repeat("x", truncatedLength))
 	}))
 	f.t.Cleanup(srv.Close)
 	return srv.Listener.Addr().String()
 }
 
-// A caller sends a booking again and gets the kept answer. For whoever watches,
-// both requests were completed: the second has neither failed nor not run.
+// A caller repeats a booking and gets the stored answer. Both requests must be counted as
+// completed, and the second neither as failed nor as not run.
 func TestKeptAnswerCountsAsCompleted(t *testing.T) {
 	f := newFleet(t)
 	g := f.controlGroup(1)
 	g.configure()
-	e := g.controlled("e1")
+	e := g.entryWithControl("e1")
 	f.agent("b1", newBookings(f, nil).addr, e.links)
 	f.untilTargets(e, 1)
 	status, _, _ := f.book(e, "k1", "{}")
 	f.c.Assert(status, qt.Equals, http.StatusCreated)
-	again := 0 // the answer is kept in the background, so that it may be too early
-	f.until("the kept answer", func() bool {
+	again := 0 // the answer is stored in the background, so the first repetitions may be too early
+	f.until("the stored answer", func() bool {
 		again++
 		status, _, _ = f.book(e, "k1", "{}")
 		return status == http.StatusCreated
 	})
-	early := counts(f, e, refusals)[string(api.ReasonClaimInProgress)]
+	early := entryMetricValues(f, e, refusalsMetric)[string(api.ReasonClaimInProgress)]
 	f.c.Assert(early, qt.Equals, float64(again-1))
-	ended := counts(f, e, "almondseam_requests_ended_total")
+	ended := entryMetricValues(f, e, "almondseam_requests_ended_total")
 	f.c.Assert(ended[string(api.OutcomeCompleted)], qt.Equals, float64(2))
 	f.c.Assert(ended[string(api.OutcomeNotRun)], qt.Equals, float64(0))
 }
