--- a/bench/losses/causes.go
+++ b/bench/losses/causes.go
@@ -5,46 +5,47 @@
 	"time"
 )
 
-// cause is why a request did not serve its caller in time; inTime if it did.
+// cause is the reason why a request was not served in time, or inTime if it was.
 type cause string
 
-// The causes, in the order of the table.
+// The causes, in the order of the rows that printTable writes.
 const (
-	inTime      cause = "in time"
-	openAtStop  cause = "open when its entry stopped"
-	cutLeaving  cause = "cut, its engine left"
-	cutLost     cause = "cut, its engine was lost"
-	beganLate   cause = "began late"
-	pausedMove  cause = "paused too long, moved"
-	paused      cause = "paused too long"
-	late        cause = "late"
-	targetFault cause = "failed by its target"
-	timedOut    cause = "timed out"
-	callerLeft  cause = "its caller left"
-	refused     cause = "refused"
-	otherFault  cause = "failed otherwise"
+	inTime           cause = "in time"
+	entryStopped     cause = "open when its entry stopped"
+	cutTargetLeaving cause = "cut, its engine left"
+	cutTargetLost    cause = "cut, its engine was lost"
+	firstEventLate   cause = "began late"
+	pausedMigration  cause = "paused too long, moved"
+	paused           cause = "paused too long"
+	late             cause = "late"
+	targetFault      cause = "failed by its target"
+	timedOut         cause = "timed out"
+	clientCancelled  cause = "its caller left"
+	refused          cause = "refused"
+	otherFault       cause = "failed otherwise"
 )
 
 var causes = []cause{
-	inTime, openAtStop, cutLeaving, cutLost, beganLate, pausedMove, paused, late, targetFault, timedOut, callerLeft, refused, otherFault,
+	inTime, entryStopped, cutTargetLeaving, cutTargetLost, firstEventLate, pausedMigration, paused, late, targetFault, timedOut, clientCancelled, refused, otherFault,
 }
 
-// aims are the bounds that a request must keep to be in time.
-type aims struct {
-	// objective holds where the log does not give a route's own.
+// bounds holds the latency limits within which a request counts as in time.
+type bounds struct {
+	// objective bounds the time to the first event of a stream, or to the end of
+	// a plain answer. An objective in the request's log line takes precedence.
 	objective time.Duration
-	// pause is the longest pause between two events of a stream.
-	pause time.Duration
+	// maxGap is the longest permitted pause between two events of a stream.
+	maxGap time.Duration
 }
 
-// judge gives the cause of a request's loss; false for one that can't be judged,
-// because it has no route or the log ends before it does.
-func (a aims) judge(s *story) (cause, bool) {
+// classify returns the cause of a request. It returns false if the request can't be
+// classified because it has no route or the log stops before the request ends.
+func (b bounds) classify(s *requestState) (cause, bool) {
 	if s.route == "" {
 		return "", false
 	}
-	if s.cut && s.end == nil {
-		return openAtStop, true
+	if s.interrupted && s.end == nil {
+		return entryStopped, true
 	}
 	if s.end == nil {
 		return "", false
@@ -52,31 +53,32 @@
 	if s.refused != "" {
 		return refused, true
 	}
-	return a.ended(s), true
+	return b.classifyEnded(s), true
 }
 
-func (a aims) ended(s *story) cause {
+// classifyEnded returns the cause of a request whose end is in the log.
+func (b bounds) classifyEnded(s *requestState) cause {
 	end := s.end
 	switch {
 	case end.Outcome == "cancelled":
-		return callerLeft
+		return clientCancelled
 	case end.Outcome == "timeout":
 		return timedOut
 	case end.Outcome == "answered" && end.Status >= http.StatusInternalServerError:
 		return targetFault
 	case end.Outcome == "answered":
-		return a.speed(end)
-	case s.leaving:
-		return cutLeaving
+		return b.classifyAnswer(end)
+	case s.targetLeaving:
+		return cutTargetLeaving
 	case end.Outcome == "engine_died":
-		return cutLost
+		return cutTargetLost
 	}
 	return otherFault
 }
 
-// speed judges a whole answer.
-func (a aims) speed(end *line) cause {
-	objective := a.objective
+// classifyAnswer returns the cause of a complete answer by its latencies.
+func (b bounds) classifyAnswer(end *logLine) cause {
+	objective := b.objective
 	if end.Objective > 0 {
 		objective = end.Objective.duration()
 	}
@@ -88,11 +90,11 @@
 	}
 	switch {
 	case end.First.duration() > objective:
-		return beganLate
-	case end.LongestGap.duration() <= a.pause:
+		return firstEventLate
+	case end.LongestGap.duration() <= b.maxGap:
 		return inTime
 	case end.Migrations > 0:
-		return pausedMove
+		return pausedMigration
 	}
 	return paused
 }
--- a/bench/losses/read.go
+++ b/bench/losses/read.go
@@ -12,18 +12,18 @@
 	"almondseam.dev/node/events"
 )
 
-// maxLine bounds one line of a log in bytes.
+// maxLine is the maximum length of a log line in bytes.
 const maxLine = 1 << 20
 
-// milliseconds is how logs write a time.
+// milliseconds is a duration as the logs encode it.
 type milliseconds float64
 
 func (m milliseconds) duration() time.Duration {
 	return time.Duration(float64(m) * float64(time.Millisecond))
 }
 
-// line is what the table needs of one line of an entry's log.
-type line struct {
+// logLine holds the fields of an entry's log line that the table needs.
+type logLine struct {
 	Instance   string       `json:"instance"`
 	Event      int          `json:"event"`
 	Request    string       `json:"request"`
@@ -43,105 +43,112 @@
 	Migrations int          `json:"migrations"`
 }
 
-// story is what the logs tell of one request.
-type story struct {
+// requestState holds what the logs record about one request.
+type requestState struct {
 	route string
-	// class names requests of one kind and objective, which several routes may carry.
+	// class names the kind and objective of the request. Several routes may have
+	// the same class.
 	class    string
 	instance string
-	// last is the target that the request was last at; leaving tells that it was
-	// known to leave.
-	last    string
-	leaving bool
-	// end is the line of its end, nil while there is none.
-	end     *line
+	// lastTarget is the target that the request was last sent or moved to.
+	// targetLeaving reports whether the log had shown this target in a state
+	// other than ready before the request ended.
+	lastTarget    string
+	targetLeaving bool
+	// end is the log line of the request's end, nil if there is none yet.
+	end     *logLine
 	refused string
-	// cut tells that the entry's process ended before the request did.
-	cut bool
+	// interrupted reports whether the entry's process restarted before the request ended.
+	interrupted bool
 }
 
-// fleetLog gathers the requests of all entries.
+// fleetLog holds the requests of all entries.
 type fleetLog struct {
-	stories map[string]*story
-	open    map[string]map[string]*story // by instance, then request
-	leaving map[string]bool
-	// classes are those of the routes.
+	requests     map[string]*requestState
+	openRequests map[string]map[string]*requestState // by instance, then request
+	// targetLeaving holds the targets that changed to a state other than ready. A
+	// target stays in it if it becomes ready again.
+	targetLeaving map[string]bool
+	// classes maps each route to the class of its last request whose end gave a kind.
 	classes map[string]string
 }
 
-// read takes the log of one or more entries, in the order of time. What stands
-// before the first brace of a line is left out; lines that are no JSON are counted.
-func read(from io.Reader) (*fleetLog, int, error) {
-	l := &fleetLog{stories: map[string]*story{}, open: map[string]map[string]*story{}, leaving: map[string]bool{}, classes: map[string]string{}}
+// readLog reads the log of one or more entries, whose lines must be in chronological
+// order. It ignores the text before the first brace of a line, and skips lines that
+// are not JSON. The second result is the number of skipped lines.
+func readLog(r io.Reader) (*fleetLog, int, error) {
+	l := &fleetLog{requests: map[string]*requestState{}, openRequests: map[string]map[string]*requestState{}, targetLeaving: map[string]bool{}, classes: map[string]string{}}
 	skipped := 0
-	lines := bufio.NewScanner(from)
+	lines := bufio.NewScanner(r)
 	lines.Buffer(nil, maxLine)
 	for lines.Scan() {
 		text := lines.Bytes()
 		start := bytes.IndexByte(text, '{')
-		var one line
-		if start < 0 || json.Unmarshal(text[start:], &one) != nil {
+		var line logLine
+		if start < 0 || json.Unmarshal(text[start:], &line) != nil {
 			skipped++
 			continue
 		}
-		l.take(&one)
+		l.apply(&line)
 	}
 	if err := lines.Err(); err != nil {
 		return nil, skipped, fmt.Errorf("reading the log: %w", err)
 	}
-	if len(l.stories) == 0 {
+	if len(l.requests) == 0 {
 		return nil, skipped, errors.New("reading the log: no request in it")
 	}
 	return l, skipped, nil
 }
 
-func (l *fleetLog) take(one *line) {
-	switch one.Event {
+// apply updates the state of targets and requests by one log line.
+func (l *fleetLog) apply(line *logLine) {
+	switch line.Event {
 	case events.ProcessStarted.ID:
-		l.restart(one.Instance)
+		l.interruptOpen(line.Instance)
 	case events.TargetChanged.ID:
-		if one.State != "ready" {
-			l.leaving[one.Target] = true
+		if line.State != "ready" {
+			l.targetLeaving[line.Target] = true
 		}
 	case events.RequestSent.ID:
-		s := l.story(one)
-		s.last = one.Target
+		s := l.requestState(line)
+		s.lastTarget = line.Target
 	case events.RequestMoved.ID:
-		l.story(one).last = one.To
+		l.requestState(line).lastTarget = line.To
 	case events.RequestRefused.ID:
-		l.story(one).refused = one.Reason
+		l.requestState(line).refused = line.Reason
 	case events.RequestEnded.ID, events.RequestFailed.ID:
-		s := l.story(one)
-		s.end = one
-		s.leaving = l.leaving[s.last]
-		if one.Kind != "" {
-			s.class = fmt.Sprintf("%s %v", one.Kind, one.Objective.duration())
+		s := l.requestState(line)
+		s.end = line
+		s.targetLeaving = l.targetLeaving[s.lastTarget]
+		if line.Kind != "" {
+			s.class = fmt.Sprintf("%s %v", line.Kind, line.Objective.duration())
 			l.classes[s.route] = s.class
 		}
-		delete(l.open[one.Instance], one.Request)
+		delete(l.openRequests[line.Instance], line.Request)
 	}
 }
 
-// restart cuts what an instance had open.
-func (l *fleetLog) restart(instance string) {
-	for _, s := range l.open[instance] {
-		s.cut = true
+// interruptOpen marks the open requests of an instance as interrupted.
+func (l *fleetLog) interruptOpen(instance string) {
+	for _, s := range l.openRequests[instance] {
+		s.interrupted = true
 	}
-	delete(l.open, instance)
+	delete(l.openRequests, instance)
 }
 
-func (l *fleetLog) story(one *line) *story {
-	s := l.stories[one.Request]
+// requestState returns the state of the line's request and creates it if there is none.
+func (l *fleetLog) requestState(line *logLine) *requestState {
+	s := l.requests[line.Request]
 	if s == nil {
-		s = &story{instance: one.Instance}
-		l.stories[one.Request] = s
-		if l.open[one.Instance] == nil {
-			l.open[one.Instance] = map[string]*story{}
+		s = &requestState{instance: line.Instance}
+		l.requests[line.Request] = s
+		if l.openRequests[line.Instance] == nil {
+			l.openRequests[line.Instance] = map[string]*requestState{}
 		}
-		l.open[one.Instance][one.Request] = s
+		l.openRequests[line.Instance][line.Request] = s
 	}
-	if one.Route != "" {
-		s.route = one.Route
+	if line.Route != "" {
+		s.route = line.Route
 	}
 	return s
 }
--- a/bench/losses/table.go
+++ b/bench/losses/table.go
@@ -9,44 +9,45 @@
 	"text/tabwriter"
 )
 
-// counts are the requests of one class by cause.
+// counts holds the number of requests of one class, by cause and in total.
 type counts struct {
-	by    map[cause]int
-	total int
+	byCause map[cause]int
+	total   int
 }
 
-// tally counts the requests of each class. Those that have no end in the log count with
-// the others of their route; classes whose lines give no kind are classes of their own.
-func (l *fleetLog) tally(a aims) map[string]*counts {
+// tally counts the requests of each class. A request without a class of its own counts
+// in the class of its route. If the log gives no kind for any request of a route, the
+// route is a class by itself.
+func (l *fleetLog) tally(b bounds) map[string]*counts {
 	classes := map[string]*counts{}
-	for _, s := range l.stories {
-		c, ok := a.judge(s)
+	for _, s := range l.requests {
+		c, ok := b.classify(s)
 		if !ok {
 			continue
 		}
 		class := cmp.Or(s.class, l.classes[s.route], s.route)
-		of := classes[class]
-		if of == nil {
-			of = &counts{by: map[cause]int{}}
-			classes[class] = of
+		classCounts := classes[class]
+		if classCounts == nil {
+			classCounts = &counts{byCause: map[cause]int{}}
+			classes[class] = classCounts
 		}
-		of.by[c]++
-		of.total++
+		classCounts.byCause[c]++
+		classCounts.total++
 	}
 	return classes
 }
 
-// ceiling is the part of the requests that would be in time if all were but those
-// whose entry stopped, which nobody can bring back.
+// ceiling returns the highest possible share of requests in time: all except those
+// that were open when their entry stopped, which can't be recovered.
 func (c *counts) ceiling() float64 {
-	return float64(c.total-c.by[openAtStop]) / float64(c.total)
+	return float64(c.total-c.byCause[entryStopped]) / float64(c.total)
 }
 
-// print writes a line for each cause that took a request, a column for each class
-// of at least so many requests.
-func print(out io.Writer, classes map[string]*counts, least int) error {
+// printTable writes a table with a row for each cause that occurs and a column for each
+// class of at least minRequests requests.
+func printTable(out io.Writer, classes map[string]*counts, minRequests int) error {
 	names := slices.Sorted(maps.Keys(classes))
-	names = slices.DeleteFunc(names, func(n string) bool { return classes[n].total < least })
+	names = slices.DeleteFunc(names, func(n string) bool { return classes[n].total < minRequests })
 	w := tabwriter.NewWriter(out, 0, 0, 2, ' ', tabwriter.AlignRight)
 	row := func(head string, cell func(c *counts) string) {
 		fmt.Fprint(w, head)
@@ -61,16 +62,16 @@
 	}
 	fmt.Fprintln(w, "\t")
 	row("requests", func(c *counts) string { return fmt.Sprint(c.total) })
-	for _, one := range causes {
-		if !slices.ContainsFunc(names, func(n string) bool { return classes[n].by[one] > 0 }) {
+	for _, rowCause := range causes {
+		if !slices.ContainsFunc(names, func(n string) bool { return classes[n].byCause[rowCause] > 0 }) {
 			continue
 		}
-		row(string(one), func(c *counts) string { return share(c.by[one], c.total) })
+		row(string(rowCause), func(c *counts) string { return formatShare(c.byCause[rowCause], c.total) })
 	}
 	row("ceiling", func(c *counts) string { return fmt.Sprintf("%.3f", c.ceiling()) })
 	return w.Flush()
 }
 
-func share(n, total int) string {
+func formatShare(n, total int) string {
 	return fmt.Sprintf("%d (%.1f%%)", n, 100*float64(n)/float64(total))
 }
