--- a/bench/path/main.go
+++ b/bench/path/main.go
@@ -1,7 +1,7 @@
-// Command path measures what the way through entry and agent costs a
-// generation, against the same engine asked directly: added latency of the
-// first token and between tokens, processor time a token and memory a stream.
-// measure.sh starts the processes and gives it their numbers.
+// Command path measures the overhead of the path through entry and agent for
+// streamed generations, compared with direct requests to the same engine: the added
+// latency of the first token and between tokens, the processor time per token and
+// the memory per stream. measure.sh starts the processes and passes their process IDs.
 package main
 
 import (
@@ -20,15 +20,15 @@
 )
 
 type options struct {
-	direct  string
-	through string
-	key     string
-	model   string
-	streams int
-	tokens  int
-	rounds  int
-	entry   int
-	agent   int
+	direct   string
+	through  string
+	key      string
+	model    string
+	streams  int
+	tokens   int
+	rounds   int
+	entryPID int
+	agentPID int
 }
 
 func main() {
@@ -41,8 +41,8 @@
 	app.Flag("streams", "Streams at once.").Default("500").IntVar(&o.streams)
 	app.Flag("tokens", "Tokens of each stream.").Default("200").IntVar(&o.tokens)
 	app.Flag("rounds", "Pairs of runs.").Default("3").IntVar(&o.rounds)
-	app.Flag("entry-pid", "Process of the entry.").IntVar(&o.entry)
-	app.Flag("agent-pid", "Process of the agent.").IntVar(&o.agent)
+	app.Flag("entry-pid", "Process of the entry.").IntVar(&o.entryPID)
+	app.Flag("agent-pid", "Process of the agent.").IntVar(&o.agentPID)
 	kingpin.MustParse(app.Parse(os.Args[1:]))
 	if err := o.run(); err != nil {
 		fmt.Fprintln(os.Stderr, "path:", err)
@@ -50,21 +50,23 @@
 	}
 }
 
-// result is what one run of streams saw. Latencies are in microseconds.
+// result holds the measurements of one stream or of all streams of a run. Latencies
+// are in microseconds.
 type result struct {
-	first  *hdrhistogram.Histogram
-	gap    *hdrhistogram.Histogram
-	tokens int64
-	took   time.Duration
+	firstToken *hdrhistogram.Histogram
+	tokenGap   *hdrhistogram.Histogram
+	tokens     int64
+	elapsed    time.Duration
 }
 
+// The largest latency and the number of significant digits of the histograms.
 const (
 	maxMicros = 60_000_000
 	digits    = 3
 )
 
 func newResult() *result {
-	return &result{first: hdrhistogram.New(1, maxMicros, digits), gap: hdrhistogram.New(1, maxMicros, digits)}
+	return &result{firstToken: hdrhistogram.New(1, maxMicros, digits), tokenGap: hdrhistogram.New(1, maxMicros, digits)}
 }
 
 func (o *options) run() error {
@@ -72,41 +74,42 @@
 	fmt.Println("| way | first p50 ms | first p99 ms | gap p50 ms | gap p99 ms | tokens/s |")
 	fmt.Println("| --- | --- | --- | --- | --- | --- |")
 	for range o.rounds {
-		d, err := o.load(o.direct)
+		d, err := o.runStreams(o.direct)
 		if err != nil {
 			return fmt.Errorf("direct: %w", err)
 		}
-		before := o.usage()
-		t, err := o.load(o.through)
+		before := o.pathUsage()
+		t, err := o.runStreams(o.through)
 		if err != nil {
 			return fmt.Errorf("through: %w", err)
 		}
-		d.print("direct")
-		t.print("through")
+		d.printRow("direct")
+		t.printRow("through")
 		t.printAdded(d)
-		o.printCost(before, o.usage(), t)
+		o.printCost(before, o.pathUsage(), t)
 	}
 	return nil
 }
 
-func (r *result) print(way string) {
-	fmt.Printf("| %s | %.2f | %.2f | %.2f | %.2f | %.0f |\n", way, ms(r.first, 50), ms(r.first, 99), ms(r.gap, 50), ms(r.gap, 99), float64(r.tokens)/r.took.Seconds())
+func (r *result) printRow(way string) {
+	fmt.Printf("| %s | %.2f | %.2f | %.2f | %.2f | %.0f |\n", way, ms(r.firstToken, 50), ms(r.firstToken, 99), ms(r.tokenGap, 50), ms(r.tokenGap, 99), float64(r.tokens)/r.elapsed.Seconds())
 }
 
 func (r *result) printAdded(d *result) {
-	fmt.Printf("| added | %.2f | %.2f | %.2f | %.2f | |\n", ms(r.first, 50)-ms(d.first, 50), ms(r.first, 99)-ms(d.first, 99), ms(r.gap, 50)-ms(d.gap, 50), ms(r.gap, 99)-ms(d.gap, 99))
+	fmt.Printf("| added | %.2f | %.2f | %.2f | %.2f | |\n", ms(r.firstToken, 50)-ms(d.firstToken, 50), ms(r.firstToken, 99)-ms(d.firstToken, 99), ms(r.tokenGap, 50)-ms(d.tokenGap, 50), ms(r.tokenGap, 99)-ms(d.tokenGap, 99))
 }
 
 func ms(h *hdrhistogram.Histogram, q float64) float64 {
 	return float64(h.ValueAtPercentile(q)) / 1000
 }
 
-func (o *options) load(url string) (*result, error) {
+// runStreams runs all streams concurrently against url and merges their results.
+func (o *options) runStreams(url string) (*result, error) {
 	client := &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: o.streams}}
 	defer client.CloseIdleConnections()
-	all := newResult()
+	merged := newResult()
 	var mu sync.Mutex
-	var failed error
+	var lastErr error
 	var wg conc.WaitGroup
 	start := time.Now()
 	for i := range o.streams {
@@ -115,20 +118,21 @@
 			mu.Lock()
 			defer mu.Unlock()
 			if err != nil {
-				failed = err
+				lastErr = err
 				return
 			}
-			all.first.Merge(r.first)
-			all.gap.Merge(r.gap)
-			all.tokens += r.tokens
+			merged.firstToken.Merge(r.firstToken)
+			merged.tokenGap.Merge(r.tokenGap)
+			merged.tokens += r.tokens
 		})
 	}
 	wg.Wait()
-	all.took = time.Since(start)
-	return all, failed
+	merged.elapsed = time.Since(start)
+	return merged, lastErr
 }
 
-// stream asks for one generation. Its prompt tells it from all others.
+// stream requests one generation and measures its tokens. The prompt contains i, so
+// that the prompts of a run differ.
 func (o *options) stream(client *http.Client, url string, i int) (*result, error) {
 	body, err := json.Marshal(map[string]any{
 		"model": o.model, "stream": true, "x_output_tokens": o.tokens,
@@ -151,7 +155,7 @@
 	if resp.StatusCode != http.StatusOK {
 		return nil, fmt.Errorf("status %s", resp.Status)
 	}
-	return o.read(bufio.NewReader(resp.Body), start)
+	return o.readTokens(bufio.NewReader(resp.Body), start)
 }
 
 var (
@@ -159,7 +163,10 @@
 	doneMark    = []byte("data: [DONE]")
 )
 
-func (o *options) read(br *bufio.Reader, start time.Time) (*result, error) {
+// readTokens measures the times of the tokens in a stream of events. The time to the
+// first token counts from start. It returns an error unless the number of tokens is
+// the requested one.
+func (o *options) readTokens(br *bufio.Reader, start time.Time) (*result, error) {
 	r := newResult()
 	last := start
 	for {
@@ -174,9 +181,9 @@
 			continue
 		}
 		now := time.Now()
-		h := r.gap
+		h := r.tokenGap
 		if r.tokens == 0 {
-			h = r.first
+			h = r.firstToken
 		}
 		_ = h.RecordValue(max(1, now.Sub(last).Microseconds()))
 		last = now
--- a/bench/path/usage.go
+++ b/bench/path/usage.go
@@ -7,35 +7,41 @@
 	"almondseam.dev/bench/proc"
 )
 
-// usage is what the two processes have used so far.
-type usage struct{ entry, agent procUsage }
+// pathUsage holds the resources that the entry and the agent have used so far.
+type pathUsage struct{ entry, agent procUsage }
 
-// procUsage is processor time and the high-water mark of resident memory.
+// procUsage holds the processor time of a process and its high-water mark of resident
+// memory.
 type procUsage struct {
 	cpu  time.Duration
 	peak int64 // bytes
 }
 
-func (o *options) usage() usage { return usage{procOf(o.entry), procOf(o.agent)} }
+func (o *options) pathUsage() pathUsage {
+	return pathUsage{readUsage(o.entryPID), readUsage(o.agentPID)}
+}
 
-func procOf(pid int) procUsage {
+// readUsage returns the usage of a process, zero if pid is 0.
+func readUsage(pid int) procUsage {
 	if pid == 0 {
 		return procUsage{}
 	}
 	return procUsage{cpu: proc.CPU(pid), peak: proc.Peak(pid)}
 }
 
-func (o *options) printCost(before, after usage, r *result) {
+func (o *options) printCost(before, after pathUsage, r *result) {
 	printProc("entry", before.entry, after.entry, r.tokens, o.streams)
 	printProc("agent", before.agent, after.agent, r.tokens, o.streams)
 }
 
-func printProc(name string, a, b procUsage, tokens int64, streams int) {
-	cpu := b.cpu - a.cpu
+// printProc prints the cost per token and per stream of one process. It prints nothing
+// if the process used no processor time between before and after.
+func printProc(name string, before, after procUsage, tokens int64, streams int) {
+	cpu := after.cpu - before.cpu
 	if cpu <= 0 {
 		return
 	}
 	fmt.Printf("| %s | %.0f tokens a core second | %.1f us a token | peak RSS %.1f MB | %.1f KB a stream | |\n",
 		name, float64(tokens)/cpu.Seconds(), float64(cpu.Microseconds())/float64(tokens),
-		float64(b.peak)/1e6, float64(b.peak)/1e3/float64(streams))
+		float64(after.peak)/1e6, float64(after.peak)/1e3/float64(streams))
 }
