--- a/bench/rollout/fleet.go
+++ b/bench/rollout/fleet.go
@@ -32,7 +32,7 @@
 	pathCodec = wire.NewCodec(append(wire.PathProtos(), rollout.Protos()...)...)
 )
 
-// member is one control member with its folder and its listener.
+// member is a control member with its data folder and the listener for its links.
 type member struct {
 	id    consensus.MemberID
 	addr  string
@@ -41,7 +41,7 @@
 	ln    *stallListener
 }
 
-// entryNode is one entry with its links' listener.
+// entryNode is an entry with the listener for the links of agents.
 type entryNode struct {
 	client *control.Client
 	config *rollout.Entry
@@ -50,7 +50,7 @@
 	ln     *stallListener
 }
 
-// fleet is all processes of a run.
+// fleet holds the control members, the entries and the operator's client of a run.
 type fleet struct {
 	ctx     context.Context
 	o       options
@@ -59,7 +59,7 @@
 	cancel  context.CancelFunc
 	members []*member
 	entries []*entryNode
-	client  *control.Client // the operator's
+	client  *control.Client // sends the operator's requests
 }
 
 func newFleet(ctx context.Context, o options) *fleet {
@@ -87,7 +87,8 @@
 	m.role = nil
 }
 
-// startMembers opens the folders and starts a group of them.
+// startMembers opens the data folders, starts a control group on them and connects
+// the operator's client.
 func (f *fleet) startMembers(dir string) error {
 	var group consensus.Membership
 	for i := range f.o.members {
@@ -150,16 +151,17 @@
 	return control.LinkOptions(fleetKey, link.Peer{Instance: api.InstanceID(name), Zone: "z", Role: role}, nil)
 }
 
-// entryLink is an entry's link to the control group.
-func (f *fleet) entryLink(name string) link.Options {
+// entryLinkOptions returns the options of an entry's link to the control group.
+func (f *fleet) entryLinkOptions(name string) link.Options {
 	opt := linkOptions(name, link.RoleEntry)
 	opt.Silence = f.o.silence
 	return opt
 }
 
-// startNodes starts the entries and their agents and waits until all serve.
+// startNodes puts revision 1, starts the entries and agents, and waits until revision 1
+// is in force on all of them.
 func (f *fleet) startNodes() error {
-	if err := f.put(1); err != nil {
+	if err := f.putRevision(1); err != nil {
 		return err
 	}
 	for i := range f.o.entries {
@@ -170,7 +172,7 @@
 	for i := range f.o.agents {
 		f.startAgent(fmt.Sprintf("g%d", i), i)
 	}
-	return f.await(1)
+	return f.awaitInForce(1)
 }
 
 func (f *fleet) startEntry(name string) error {
@@ -181,13 +183,13 @@
 	e := &entryNode{ln: ln}
 	e.client = control.NewClient(control.ClientOptions{
 		Seeds:    f.seeds(),
-		Link:     f.entryLink(name),
+		Link:     f.entryLinkOptions(name),
 		OnConfig: func(rev api.Revision, doc []byte) { e.config.Deliver(rev, doc) },
 		Report:   func() control.Report { return e.report(name) },
 	})
-	e.hub = rollout.NewHub(rollout.HubOptions{Source: e.client, Observer: probe{name, f.result}})
+	e.hub = rollout.NewHub(rollout.HubOptions{Source: e.client, Observer: processObserver{name, f.result}})
 	e.config = rollout.NewEntry(rollout.EntryOptions{
-		Zone: "z", Live: &fleetconfig.Live{}, Source: e.client, Hub: e.hub, Observer: probe{name, f.result},
+		Zone: "z", Live: &fleetconfig.Live{}, Source: e.client, Hub: e.hub, Observer: processObserver{name, f.result},
 	})
 	acceptor := link.NewAcceptor(pathOptions(name, link.RoleEntry), func(c *link.Conn) {
 		s := e.hub.Attach(c.Peer().Instance, c)
@@ -217,7 +219,7 @@
 }
 
 func (f *fleet) startAgent(name string, i int) {
-	a := rollout.NewAgent(rollout.AgentOptions{Zone: "z", Live: &fleetconfig.Live{}, Observer: probe{name, f.result}})
+	a := rollout.NewAgent(rollout.AgentOptions{Zone: "z", Live: &fleetconfig.Live{}, Observer: processObserver{name, f.result}})
 	f.wg.Go(func() { a.Run(f.ctx) })
 	for k := range 2 {
 		addr := f.entries[(i+k)%len(f.entries)].ln.Addr().String()
@@ -225,9 +227,11 @@
 	}
 }
 
-// redial is the mean wait between two dials.
-const redial = 200 * time.Millisecond
+// redialDelay is the mean delay between the end of a link, or a failed dial, and the
+// next dial.
+const redialDelay = 200 * time.Millisecond
 
+// keepLink keeps a link from an agent to the entry at addr, and dials again when it ends.
 func (f *fleet) keepLink(a *rollout.Agent, name, addr string) {
 	for f.ctx.Err() == nil {
 		if conn, err := link.Dial(f.ctx, addr, pathOptions(name, link.RoleAgent)); err == nil {
@@ -235,11 +239,12 @@
 			conn.Run(f.ctx, func(m wire.Message) { a.Handle(conn, m) })
 			detach()
 		}
-		time.Sleep(redial/2 + rand.N(redial))
+		time.Sleep(redialDelay/2 + rand.N(redialDelay))
 	}
 }
 
-// document gives the configuration of a run; each revision changes one value.
+// document returns the encoded configuration of revision rev. Revisions differ in one
+// value, max_connections.
 func (f *fleet) document(rev int) ([]byte, error) {
 	var b strings.Builder
 	fmt.Fprintf(&b, "name: bench\nsites: [{id: s, region: r, zones: [z]}]\nlimits: {max_connections: %d}\ncustomers:\n", rev)
@@ -254,13 +259,14 @@
 	return fleetconfig.EncodeDocument(d)
 }
 
-// put has one revision accepted.
-func (f *fleet) put(rev int) error {
+// putRevision sends a revision to the control group, waits for its acceptance and
+// records both times, except those of revision 1.
+func (f *fleet) putRevision(rev int) error {
 	doc, err := f.document(rev)
 	if err != nil {
 		return err
 	}
-	ctx, cancel := context.WithTimeout(f.ctx, patience)
+	ctx, cancel := context.WithTimeout(f.ctx, waitTimeout)
 	defer cancel()
 	sent := time.Now()
 	r := f.client.Exec(ctx, control.Request{Command: &state.Command{Config: &state.ConfigPut{
@@ -270,17 +276,17 @@
 		return fmt.Errorf("revision %d was not accepted: %+v", rev, r)
 	}
 	if rev > 1 {
-		f.result.note(f.result.sent, api.Revision(rev), sent)
-		f.result.note(f.result.accepted, api.Revision(rev), time.Now())
+		f.result.recordTime(f.result.sent, api.Revision(rev), sent)
+		f.result.recordTime(f.result.accepted, api.Revision(rev), time.Now())
 	}
 	return nil
 }
 
-// await waits until every process has a revision in force.
-func (f *fleet) await(rev int) error {
-	end := time.Now().Add(patience)
-	for !f.result.all(api.Revision(rev), f.o.entries+f.o.agents) {
-		if time.Now().After(end) {
+// awaitInForce waits until a revision or a later one is in force on every entry and agent.
+func (f *fleet) awaitInForce(rev int) error {
+	deadline := time.Now().Add(waitTimeout)
+	for !f.result.allReached(api.Revision(rev), f.o.entries+f.o.agents) {
+		if time.Now().After(deadline) {
 			return fmt.Errorf("revision %d is not in force everywhere", rev)
 		}
 		time.Sleep(time.Millisecond)
@@ -288,27 +294,29 @@
 	return nil
 }
 
-// changeAll has the changes accepted at their pace, with the fault at half.
-func (f *fleet) changeAll() error {
+// applyChanges puts the changes one after the other, with the pause o.every after each,
+// and injects the fault after half of them. It returns when the last revision is in
+// force and the status reports it.
+func (f *fleet) applyChanges() error {
 	f.wg.Go(f.watchStatus)
 	last := f.o.changes + 1
 	for rev := 2; rev <= last; rev++ {
 		if rev == 2+f.o.changes/2 {
-			f.fail()
+			f.injectFault()
 		}
-		if err := f.put(rev); err != nil {
+		if err := f.putRevision(rev); err != nil {
 			return err
 		}
 		time.Sleep(f.o.every)
 	}
-	if err := f.await(last); err != nil {
+	if err := f.awaitInForce(last); err != nil {
 		return err
 	}
-	return f.awaitKnown(api.Revision(last))
+	return f.awaitReported(api.Revision(last))
 }
 
-// fail brings about the run's fault.
-func (f *fleet) fail() {
+// injectFault causes the fault that the options name.
+func (f *fleet) injectFault() {
 	switch f.o.fault {
 	case faultMember:
 		f.leader().stop()
@@ -328,13 +336,15 @@
 	return f.members[0]
 }
 
-// statusEvery is the pace at which an operator would ask.
-const statusEvery = 100 * time.Millisecond
+// statusInterval is the interval between status polls. It stands for the rate at which
+// an operator would poll.
+const statusInterval = 100 * time.Millisecond
 
-// watchStatus asks the leader what is in force, as almondctl status does.
+// watchStatus polls the status of the control group, as almondctl status does, and
+// records which revisions it reports in force on all entries and agents.
 func (f *fleet) watchStatus() {
 	for f.ctx.Err() == nil {
-		time.Sleep(statusEvery)
+		time.Sleep(statusInterval)
 		ctx, cancel := context.WithTimeout(f.ctx, time.Second)
 		r := f.client.Exec(ctx, control.Request{Status: true})
 		cancel()
@@ -342,30 +352,33 @@
 		if json.Unmarshal(r.Status, &s) != nil || len(s.Sites) != 1 || s.Sites[0].Instances < f.o.entries+f.o.agents {
 			continue
 		}
-		f.noteKnown(s.Sites[0].Lowest)
+		f.recordReported(s.Sites[0].Lowest)
 	}
 }
 
-func (f *fleet) noteKnown(lowest api.Revision) {
+// recordReported records the current time for each accepted revision up to lowest that
+// has not been reported before.
+func (f *fleet) recordReported(lowest api.Revision) {
 	f.result.mu.Lock()
 	defer f.result.mu.Unlock()
 	for rev := range f.result.accepted {
-		if _, ok := f.result.known[rev]; !ok && rev <= lowest {
-			f.result.known[rev] = time.Now()
+		if _, ok := f.result.reported[rev]; !ok && rev <= lowest {
+			f.result.reported[rev] = time.Now()
 		}
 	}
 }
 
-func (f *fleet) awaitKnown(rev api.Revision) error {
-	end := time.Now().Add(patience)
-	for time.Now().Before(end) {
+// awaitReported waits until the status has reported a revision in force everywhere.
+func (f *fleet) awaitReported(rev api.Revision) error {
+	deadline := time.Now().Add(waitTimeout)
+	for time.Now().Before(deadline) {
 		f.result.mu.Lock()
-		_, ok := f.result.known[rev]
+		_, ok := f.result.reported[rev]
 		f.result.mu.Unlock()
 		if ok {
 			return nil
 		}
-		time.Sleep(statusEvery)
+		time.Sleep(statusInterval)
 	}
 	return fmt.Errorf("revision %d is not known to be in force", rev)
 }
--- a/bench/rollout/main.go
+++ b/bench/rollout/main.go
@@ -1,6 +1,6 @@
-// Command rollout measures how long an accepted configuration takes to be in
-// force on every process: a control group with data folders, entries and agents
-// in one process, over real links on loopback.
+// Command rollout measures the time from the acceptance of a configuration until it is
+// in force on every entry and agent. It runs a control group with data folders, the
+// entries and the agents in one process, connected by real links on loopback.
 //
 // Usage: go run ./bench/rollout [--fault=none|member|control-link|agent-links] ...
 package main
@@ -14,8 +14,9 @@
 	"github.com/alecthomas/kingpin/v2"
 )
 
-// The faults that a run may bring about at its middle: the leader stops, the
-// newest link at the leader stalls, or all links from agents at one entry do.
+// The faults that a run can inject after half of the changes: the leader stops, the
+// newest link at the leader stalls, or the links from agents at the first entry stall
+// (the newest 2*agents/entries of them, which is the average number per entry).
 const (
 	faultNone    = "none"
 	faultMember  = "member"
@@ -23,7 +24,7 @@
 	faultAgent   = "agent-links"
 )
 
-// options of one run.
+// options holds the command-line options of a run.
 type options struct {
 	members   int
 	entries   int
@@ -54,8 +55,9 @@
 	}
 }
 
-// patience bounds the set-up and the wait for the last change.
-const patience = 60 * time.Second
+// waitTimeout bounds each wait: for a revision to be accepted, to be in force on all
+// entries and agents, and to be reported so by the status.
+const waitTimeout = 60 * time.Second
 
 func run(o options) error {
 	dir, err := os.MkdirTemp("", "rollout")
@@ -73,7 +75,7 @@
 	if err := f.startNodes(); err != nil {
 		return err
 	}
-	if err := f.changeAll(); err != nil {
+	if err := f.applyChanges(); err != nil {
 		return err
 	}
 	f.result.print(os.Stdout, o)
--- a/bench/rollout/result.go
+++ b/bench/rollout/result.go
@@ -13,48 +13,52 @@
 	"almondseam.dev/core/rollout"
 )
 
-// result gathers when each revision was accepted and in force on each process.
+// result holds the measurements of a run: when each revision was sent, accepted, in
+// force on each entry and agent, and reported in force everywhere by the status. It
+// also counts the rollout events, the messages sent to agents by form, and the agents'
+// switches between entries by reason.
 type result struct {
-	mu       sync.Mutex
-	sent     map[api.Revision]time.Time
-	accepted map[api.Revision]time.Time
-	inForce  map[string]map[api.Revision]time.Time
-	reached  map[string]api.Revision
-	steps    map[rollout.Event]int
-	forms    map[string]int
-	switched map[string]int
-	known    map[api.Revision]time.Time
+	mu        sync.Mutex
+	sent      map[api.Revision]time.Time
+	accepted  map[api.Revision]time.Time
+	inForce   map[string]map[api.Revision]time.Time
+	reached   map[string]api.Revision
+	steps     map[rollout.Event]int
+	sentForms map[string]int
+	switched  map[string]int
+	reported  map[api.Revision]time.Time
 }
 
 func newResult() *result {
 	return &result{
-		sent:     map[api.Revision]time.Time{},
-		accepted: map[api.Revision]time.Time{},
-		inForce:  map[string]map[api.Revision]time.Time{},
-		reached:  map[string]api.Revision{},
-		steps:    map[rollout.Event]int{},
-		forms:    map[string]int{},
-		switched: map[string]int{},
-		known:    map[api.Revision]time.Time{},
+		sent:      map[api.Revision]time.Time{},
+		accepted:  map[api.Revision]time.Time{},
+		inForce:   map[string]map[api.Revision]time.Time{},
+		reached:   map[string]api.Revision{},
+		steps:     map[rollout.Event]int{},
+		sentForms: map[string]int{},
+		switched:  map[string]int{},
+		reported:  map[api.Revision]time.Time{},
 	}
 }
 
-// probe is the rollout.Observer of one process.
-type probe struct {
+// processObserver implements rollout.Observer for one entry or agent.
+type processObserver struct {
 	name string
 	r    *result
 }
 
 // Stepped implements rollout.Observer.
-func (p probe) Stepped(e rollout.Event) {
+func (p processObserver) Stepped(e rollout.Event) {
 	p.r.mu.Lock()
 	defer p.r.mu.Unlock()
 	p.r.steps[e]++
 }
 
-// InForce implements rollout.Observer. A revision that comes by way of a later
-// one counts as in force with it.
-func (p probe) InForce(rev api.Revision, _ api.Site) {
+// InForce implements rollout.Observer. A revision that the process skipped counts as in
+// force from the time of the later revision. InForce panics if the revision is not
+// higher than the previous one.
+func (p processObserver) InForce(rev api.Revision, _ api.Site) {
 	now := time.Now()
 	p.r.mu.Lock()
 	defer p.r.mu.Unlock()
@@ -73,35 +77,36 @@
 }
 
 // Unusable implements rollout.Observer.
-func (p probe) Unusable(rev api.Revision, err error) {
+func (p processObserver) Unusable(rev api.Revision, err error) {
 	panic(fmt.Sprintf("%s cannot use revision %d: %v", p.name, rev, err))
 }
 
 // Sent implements rollout.Observer.
-func (p probe) Sent(what string) {
+func (p processObserver) Sent(what string) {
 	p.r.mu.Lock()
 	defer p.r.mu.Unlock()
-	p.r.forms[what]++
+	p.r.sentForms[what]++
 }
 
 // Followers implements rollout.Observer.
-func (probe) Followers(int) {}
+func (processObserver) Followers(int) {}
 
 // Switched implements rollout.Observer.
-func (p probe) Switched(why string) {
+func (p processObserver) Switched(why string) {
 	p.r.mu.Lock()
 	defer p.r.mu.Unlock()
 	p.r.switched[why]++
 }
 
-func (r *result) note(at map[api.Revision]time.Time, rev api.Revision, t time.Time) {
+func (r *result) recordTime(times map[api.Revision]time.Time, rev api.Revision, t time.Time) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	at[rev] = t
+	times[rev] = t
 }
 
-// all tells whether n processes have reached a revision.
-func (r *result) all(rev api.Revision, n int) bool {
+// allReached reports whether at least n entries and agents have put rev or a later
+// revision in force.
+func (r *result) allReached(rev api.Revision, n int) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	count := 0
@@ -113,11 +118,12 @@
 	return count >= n
 }
 
-// print shows the spread over all processes and all changes after the first.
+// print writes the percentiles over all entries and agents and over all revisions after
+// the initial one.
 func (r *result) print(out io.Writer, o options) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	var each, everywhere, accept, known []time.Duration
+	var each, everywhere, accept, reported []time.Duration
 	for rev, t := range r.accepted {
 		worst := time.Duration(0)
 		for _, times := range r.inForce {
@@ -127,8 +133,8 @@
 		}
 		everywhere = append(everywhere, worst)
 		accept = append(accept, t.Sub(r.sent[rev]))
-		if k, ok := r.known[rev]; ok {
-			known = append(known, k.Sub(t))
+		if k, ok := r.reported[rev]; ok {
+			reported = append(reported, k.Sub(t))
 		}
 	}
 	fmt.Fprintf(out, "%d members, %d entries, %d agents, %d customers, %d changes %s apart, fault %s\n",
@@ -138,11 +144,12 @@
 	row(t, "sent to accepted", accept)
 	row(t, "accepted to in force, each process", each)
 	row(t, "accepted to in force, last process", everywhere)
-	row(t, "accepted to known in force", known)
+	row(t, "accepted to known in force", reported)
 	_ = t.Render()
-	fmt.Fprintf(out, "steps %v, sent %v, switched %v\n", r.steps, r.forms, r.switched)
+	fmt.Fprintf(out, "steps %v, sent %v, switched %v\n", r.steps, r.sentForms, r.switched)
 }
 
+// row appends the number, the percentiles and the maximum of d to t, in milliseconds.
 func row(t *tablewriter.Table, name string, d []time.Duration) {
 	if len(d) == 0 {
 		return
--- a/bench/rollout/stall.go
+++ b/bench/rollout/stall.go
@@ -7,8 +7,9 @@
 	"time"
 )
 
-// stallListener can stall its newest connections: nothing passes either way any
-// more and neither end is told, as when a network swallows packets.
+// stallListener is a listener that can stall its newest connections. A stalled
+// connection carries no data in either direction and neither end gets an error, as when
+// a network drops all packets.
 type stallListener struct {
 	net.Listener
 
@@ -38,14 +39,15 @@
 	}
 }
 
-// stallConn swallows what is written and what arrives, once stalled.
+// stallConn is a connection that discards all written and received data once stalled.
 type stallConn struct {
 	net.Conn
-	stalled atomic.Bool
-	once    sync.Once
+	stalled   atomic.Bool
+	closeOnce sync.Once
 }
 
-// Read implements net.Conn. After the stall it waits for the end.
+// Read implements net.Conn. Once the connection is stalled, Read discards the data and
+// returns only when the underlying connection fails or is closed.
 func (c *stallConn) Read(b []byte) (int, error) {
 	for {
 		n, err := c.Conn.Read(b)
@@ -63,12 +65,13 @@
 	return c.Conn.Write(b)
 }
 
-// Close implements net.Conn. The other end of a stalled connection hears
-// nothing of the close either, for as long as its own silence bound.
+// Close implements net.Conn. It closes a stalled connection only after waitTimeout, so
+// that the other end does not see the close until then and has to detect the stall by
+// its own silence bound.
 func (c *stallConn) Close() error {
 	if !c.stalled.Load() {
 		return c.Conn.Close()
 	}
-	c.once.Do(func() { time.AfterFunc(patience, func() { _ = c.Conn.Close() }) })
+	c.closeOnce.Do(func() { time.AfterFunc(waitTimeout, func() { _ = c.Conn.Close() }) })
 	return nil
 }
