--- a/bench/policy/gates.go
+++ b/bench/policy/gates.go
@@ -9,23 +9,25 @@
 	"almondseam.dev/node/standin"
 )
 
-// epoch is the virtual time's zero.
+// epoch is the zero of virtual time.
 var epoch = time.Unix(1_700_000_000, 0)
 
-// gate stands before one engine and says when a call is given to it.
+// gate controls admission to one engine: it accepts or refuses calls and decides
+// when each accepted call starts.
 type gate interface {
-	// offer takes a call or gives the reason why not.
+	// offer accepts a call and returns an empty reason, or returns the reason for
+	// the refusal and the time after which the caller may retry.
 	offer(c *call, now time.Duration) (api.Reason, time.Duration)
-	// next returns the calls to start now with their engine priorities.
+	// next returns the calls to start now, with their engine priorities.
 	next(now time.Duration) []started
 	progress(c *call)
-	// done ends a call that ran; whole tells that its answer is complete.
+	// done ends a call that ran; whole reports whether its answer is complete.
 	done(c *call, whole bool)
-	// cancel takes a call away that waits or runs.
+	// cancel removes a waiting or running call.
 	cancel(c *call)
 	preempted(c *call, now time.Duration)
-	// handBack empties the queue of a target that leaves.
-	handBack() []*call
+	// drainQueue removes and returns the calls that wait at a draining target.
+	drainQueue() []*call
 }
 
 type started struct {
@@ -33,43 +35,44 @@
 	priority int
 }
 
-// direct gives every call to the engine at once.
-type direct struct{ fresh []started }
+// passthrough starts every call at the engine immediately.
+type passthrough struct{ pending []started }
 
-func (g *direct) offer(c *call, _ time.Duration) (api.Reason, time.Duration) {
-	g.fresh = append(g.fresh, started{c: c})
+func (g *passthrough) offer(c *call, _ time.Duration) (api.Reason, time.Duration) {
+	g.pending = append(g.pending, started{c: c})
 	return "", 0
 }
 
-func (g *direct) next(time.Duration) []started {
-	out := g.fresh
-	g.fresh = nil
+func (g *passthrough) next(time.Duration) []started {
+	out := g.pending
+	g.pending = nil
 	return out
 }
 
-func (g *direct) progress(*call)                 {}
-func (g *direct) done(*call, bool)               {}
-func (g *direct) cancel(*call)                   {}
-func (g *direct) preempted(*call, time.Duration) {}
-func (g *direct) handBack() []*call              { return nil }
+func (g *passthrough) progress(*call)                 {}
+func (g *passthrough) done(*call, bool)               {}
+func (g *passthrough) cancel(*call)                   {}
+func (g *passthrough) preempted(*call, time.Duration) {}
+func (g *passthrough) drainQueue() []*call            { return nil }
 
-// reserve starts calls in order of arrival while the sum of what each may come
-// to fits: prompt and max_tokens, or with oracle the true length, which no
-// system knows and which serves to measure capacity.
+// reserve starts calls in order of arrival while the sum of their memory
+// reservations fits. A reservation covers the prompt and max_tokens or, with
+// oracle, the prompt and the true output length, which no real system knows; it
+// serves to measure capacity. If no call runs, the next one always starts.
 type reserve struct {
-	capacity int
-	oracle   bool
-	queue    []*call
-	held     int
-	running  map[*call]int
-	prefixes map[uint64]int
+	capacity       int
+	oracle         bool
+	queue          []*call
+	reservedTokens int
+	running        map[*call]int
+	prefixes       map[uint64]int
 }
 
 func newReserve(capacity int, oracle bool) *reserve {
 	return &reserve{capacity: capacity, oracle: oracle, running: map[*call]int{}, prefixes: map[uint64]int{}}
 }
 
-func (g *reserve) need(c *call) int {
+func (g *reserve) requiredTokens(c *call) int {
 	if g.oracle {
 		return c.prompt - c.spec.prefix + c.output + 16
 	}
@@ -85,17 +88,17 @@
 	var out []started
 	for len(g.queue) > 0 {
 		c := g.queue[0]
-		need := g.need(c)
+		requiredTokens := g.requiredTokens(c)
 		if g.prefixes[c.prefix] == 0 {
-			need += c.spec.prefix
+			requiredTokens += c.spec.prefix
 		}
-		if g.held+need > g.capacity && len(g.running) > 0 {
+		if g.reservedTokens+requiredTokens > g.capacity && len(g.running) > 0 {
 			break
 		}
 		g.queue = g.queue[1:]
-		g.held += need
+		g.reservedTokens += requiredTokens
 		g.prefixes[c.prefix]++
-		g.running[c] = g.need(c)
+		g.running[c] = g.requiredTokens(c)
 		out = append(out, started{c: c})
 	}
 	return out
@@ -118,58 +121,58 @@
 		return
 	}
 	delete(g.running, c)
-	g.held -= need
+	g.reservedTokens -= need
 	g.prefixes[c.prefix]--
 	if g.prefixes[c.prefix] == 0 {
-		g.held -= c.spec.prefix
+		g.reservedTokens -= c.spec.prefix
 	}
 }
 
-func (g *reserve) handBack() []*call {
+func (g *reserve) drainQueue() []*call {
 	out := g.queue
 	g.queue = nil
 	return out
 }
 
-// ours is the product's own controller.
-type ours struct {
-	ctl     *admission.Controller
-	lengths *estimate.Estimator
-	calls   map[api.RequestID]*call
-	// waiting are the calls accepted and not yet started.
+// controllerGate is the gate that runs the product's own admission controller.
+type controllerGate struct {
+	ctl       *admission.Controller
+	estimator *estimate.Estimator
+	calls     map[api.RequestID]*call
+	// waiting holds the accepted calls that have not started yet.
 	waiting map[api.RequestID]*call
 	order   []*call
-	// seen is the preemptions of the last report.
-	seen int
+	// reportedPreemptions is the engine's preemption count as of the last report.
+	reportedPreemptions int
 }
 
-func newOurs(cfg admission.Config) *ours {
+func newControllerGate(cfg admission.Config) *controllerGate {
 	e := estimate.New(estimate.Config{})
-	return &ours{
-		ctl: admission.New(cfg, e), lengths: e,
+	return &controllerGate{
+		ctl: admission.New(cfg, e), estimator: e,
 		calls: map[api.RequestID]*call{}, waiting: map[api.RequestID]*call{},
 	}
 }
 
-func (g *ours) key(c *call) estimate.Key {
+func (g *controllerGate) key(c *call) estimate.Key {
 	return estimate.Key{Customer: customerID(c.customer), Model: "m", Kind: c.spec.name}
 }
 
-func (g *ours) offer(c *call, now time.Duration) (api.Reason, time.Duration) {
+func (g *controllerGate) offer(c *call, now time.Duration) (api.Reason, time.Duration) {
 	v := g.ctl.Offer(c.request(epoch), epoch.Add(now))
 	if !v.Queued {
 		return v.Refuse, v.RetryAfter
 	}
-	c.waitSaid = v.Wait
+	c.predictedWait = v.Wait
 	c.offered = now
-	c.bound90 = g.lengths.Curve(g.key(c)).Quantile(0, 0.9)
+	c.bound90 = g.estimator.Curve(g.key(c)).Quantile(0, 0.9)
 	g.calls[c.id] = c
 	g.waiting[c.id] = c
 	g.order = append(g.order, c)
 	return "", 0
 }
 
-func (g *ours) next(now time.Duration) []started {
+func (g *controllerGate) next(now time.Duration) []started {
 	var out []started
 	for _, s := range g.ctl.Next(epoch.Add(now)) {
 		c := g.calls[s.ID]
@@ -179,14 +182,14 @@
 	return out
 }
 
-func (g *ours) progress(c *call) {
+func (g *controllerGate) progress(c *call) {
 	if c.delivered == 100 {
-		c.bound100 = 100 + g.lengths.Curve(g.key(c)).Quantile(100, 0.9)
+		c.bound100 = 100 + g.estimator.Curve(g.key(c)).Quantile(100, 0.9)
 	}
 	g.ctl.Progress(c.id, c.attempt, c.delivered, epoch.Add(c.last))
 }
 
-func (g *ours) done(c *call, whole bool) {
+func (g *controllerGate) done(c *call, whole bool) {
 	if whole {
 		g.ctl.Done(c.id, c.attempt, c.delivered, epoch)
 	} else {
@@ -195,26 +198,27 @@
 	delete(g.calls, c.id)
 }
 
-func (g *ours) cancel(c *call) {
+func (g *controllerGate) cancel(c *call) {
 	g.ctl.Cancel(c.id, c.attempt, epoch)
 	delete(g.calls, c.id)
 	delete(g.waiting, c.id)
 }
 
-// preempted does nothing: an engine doesn't say whose memory it took. The agent
-// sees the count in the late report; see report.
-func (g *ours) preempted(*call, time.Duration) {}
+// preempted does nothing, because an engine doesn't say which sequence it
+// preempted. The agent sees only the count in the delayed load report; see report.
+func (g *controllerGate) preempted(*call, time.Duration) {}
 
-// report takes an engine's late report.
-func (g *ours) report(l standin.Load, now time.Duration) {
-	for ; g.seen < l.Preemptions; g.seen++ {
+// report passes the new preemptions of an engine's delayed load report to the
+// controller.
+func (g *controllerGate) report(l standin.Load, now time.Duration) {
+	for ; g.reportedPreemptions < l.Preemptions; g.reportedPreemptions++ {
 		g.ctl.Preempted("", 0, epoch.Add(now))
 	}
 }
 
-// yield gives the call that makes room when the engine's report shows that its
-// memory is about to run out; it waits again.
-func (g *ours) yield(free int) *call {
+// yield returns the call to withdraw from the engine when the engine's report shows
+// that its memory is about to run out, or nil. The call goes back to the queue.
+func (g *controllerGate) yield(free int) *call {
 	id, ok := g.ctl.Yield(free)
 	if !ok {
 		return nil
@@ -225,7 +229,7 @@
 	return c
 }
 
-func (g *ours) handBack() []*call {
+func (g *controllerGate) drainQueue() []*call {
 	var out []*call
 	for _, c := range g.order {
 		if g.waiting[c.id] == c {
--- a/bench/policy/measures.go
+++ b/bench/policy/measures.go
@@ -7,11 +7,11 @@
 	"github.com/HdrHistogram/hdrhistogram-go"
 )
 
-// stallAfter is the gap between two tokens of a started answer from which on
-// the whole gap counts as stall time.
+// stallAfter is the longest gap between two tokens of an answer that is not a
+// stall. A longer gap counts as stall time as a whole.
 const stallAfter = 500 * time.Millisecond
 
-// measures is what one run gave.
+// measures holds the results of one run.
 type measures struct {
 	gaps        *hdrhistogram.Histogram
 	first       *hdrhistogram.Histogram
@@ -19,41 +19,43 @@
 	stall       time.Duration
 	preemptions int
 	yields      int
-	// told counts calls that came back when told to, taken those of them that
-	// were accepted.
-	told, taken int
-	redone      int
-	wasted      int
-	goodTokens  int
-	good        int
-	calls       int
-	starts      int
-	reasons     map[string]int
-	// asked and served are tokens per customer.
-	asked, served []float64
-	// bounds counts answers asked for and within the 90% bound, per kind, at
-	// the start and after 100 tokens.
+	// timedRetry counts the calls that are retries after a delay given with a
+	// refusal; timedAccepted counts those of them that were accepted.
+	timedRetry, timedAccepted int
+	recomputedTokens          int
+	discardedTokens           int
+	goodTokens                int
+	completions               int
+	calls                     int
+	starts                    int
+	reasons                   map[string]int
+	// requestedTokens and servedTokens are the tokens of each customer.
+	requestedTokens, servedTokens []float64
+	// bounds counts, for each kind, the completed answers and those of them within
+	// the 90% length bound, as predicted at the start and after 100 tokens.
 	bounds map[string][2]ratio
-	// waits compares the predicted wait with the real one.
+	// waits holds, for each start of a call by a controllerGate, the wait predicted
+	// at the offer and the actual one.
 	waits []waitPair
-	// goodAt is the tokens of completed answers by the second of their end.
-	goodAt map[int]int
+	// goodTokensBySecond counts the tokens of completed answers by the second in
+	// which the answer ended.
+	goodTokensBySecond map[int]int
 }
 
-type ratio struct{ held, asked int }
+type ratio struct{ within, total int }
 
-type waitPair struct{ said, real float64 }
+type waitPair struct{ predicted, actual float64 }
 
 func newMeasures(customers int) *measures {
 	return &measures{
-		gaps:     hdrhistogram.New(1, int64(time.Minute/time.Microsecond), 3),
-		first:    hdrhistogram.New(1, int64(5*time.Minute/time.Microsecond), 3),
-		firstTag: hdrhistogram.New(1, int64(5*time.Minute/time.Microsecond), 3),
-		reasons:  map[string]int{},
-		asked:    make([]float64, customers),
-		served:   make([]float64, customers),
-		bounds:   map[string][2]ratio{},
-		goodAt:   map[int]int{},
+		gaps:               hdrhistogram.New(1, int64(time.Minute/time.Microsecond), 3),
+		first:              hdrhistogram.New(1, int64(5*time.Minute/time.Microsecond), 3),
+		firstTag:           hdrhistogram.New(1, int64(5*time.Minute/time.Microsecond), 3),
+		reasons:            map[string]int{},
+		requestedTokens:    make([]float64, customers),
+		servedTokens:       make([]float64, customers),
+		bounds:             map[string][2]ratio{},
+		goodTokensBySecond: map[int]int{},
 	}
 }
 
@@ -65,17 +67,17 @@
 
 func (m *measures) offered(c *call) {
 	m.calls++
-	m.asked[c.customer] += float64(c.prompt + c.output)
+	m.requestedTokens[c.customer] += float64(c.prompt + c.output)
 }
 
 func (m *measures) started(c *call) {
 	m.starts++
 	if c.bound90 > 0 {
-		m.waits = append(m.waits, waitPair{c.waitSaid.Seconds(), (c.started - c.offered).Seconds()})
+		m.waits = append(m.waits, waitPair{c.predictedWait.Seconds(), (c.started - c.offered).Seconds()})
 	}
 }
 
-// token notes one delivered token.
+// token records one delivered token.
 func (m *measures) token(c *call, now time.Duration) {
 	if c.delivered == 0 {
 		c.first = now
@@ -94,17 +96,17 @@
 	c.last = now
 }
 
-// stalledOut counts the gap of a caller that left in the middle of it.
-func (m *measures) stalledOut(c *call, now time.Duration) {
+// stallAbandoned records the open gap of a caller that leaves during a stall.
+func (m *measures) stallAbandoned(c *call, now time.Duration) {
 	m.stall += now - c.last
 	record(m.gaps, now-c.last)
 }
 
 func (m *measures) completed(c *call) {
-	m.good++
+	m.completions++
 	m.goodTokens += c.delivered
-	m.goodAt[int(c.last/time.Second)] += c.delivered
-	m.served[c.customer] += float64(c.prompt + c.output)
+	m.goodTokensBySecond[int(c.last/time.Second)] += c.delivered
+	m.servedTokens[c.customer] += float64(c.prompt + c.output)
 	if c.bound90 == 0 {
 		return
 	}
@@ -116,25 +118,26 @@
 	m.bounds[c.spec.name] = b
 }
 
-func (r *ratio) count(held bool) {
-	r.asked++
-	if held {
-		r.held++
+func (r *ratio) count(within bool) {
+	r.total++
+	if within {
+		r.within++
 	}
 }
 
 func (m *measures) failed(c *call, reason string) { m.reasons[reason]++ }
 
-// fairness is Jain's index over customers of what each was served relative to
-// its max-min fair part of all that was served; 1 is best.
+// fairness returns Jain's index over the customers, computed on the ratio of the
+// tokens served to the customer's max-min fair share of all tokens served; 1 is
+// best.
 func (m *measures) fairness() float64 {
 	total := 0.0
-	for _, s := range m.served {
+	for _, s := range m.servedTokens {
 		total += s
 	}
-	fair := maxMin(m.asked, total)
+	fair := maxMin(m.requestedTokens, total)
 	var sum, squares float64
-	for i, s := range m.served {
+	for i, s := range m.servedTokens {
 		x := 1.0
 		if fair[i] > 0 {
 			x = s / fair[i]
@@ -142,10 +145,10 @@
 		sum += x
 		squares += x * x
 	}
-	return sum * sum / (float64(len(m.served)) * squares)
+	return sum * sum / (float64(len(m.servedTokens)) * squares)
 }
 
-// maxMin gives each demand its max-min fair part of total.
+// maxMin returns the max-min fair share of total for each demand.
 func maxMin(demand []float64, total float64) []float64 {
 	order := make([]int, len(demand))
 	for i := range order {
--- a/bench/policy/policy_test.go
+++ b/bench/policy/policy_test.go
@@ -7,37 +7,38 @@
 	qt "github.com/frankban/quicktest"
 )
 
-// small is Sur Sangat with four engines for a minute and a half.
-func small() *workload {
+// smallWorkload returns the Sur Sangat workload with four engines and a length of
+// 90 seconds.
+func smallWorkload() *workload {
 	w := workloads()[0]
 	w.engines = 4
 	w.length = 90 * time.Second
 	return &w
 }
 
-// smallCapacity is about what four engines carry, in requests per second.
+// smallCapacity is roughly the capacity of four engines, in requests per second.
 const smallCapacity = 15
 
-// TestOursPreemptsLess keeps the product's column from silently becoming one of
-// the baselines: in a crowded run it preempts at most a fifth as often as admit
-// everything and completes no fewer tokens than nine in ten of it.
+// TestOursPreemptsLess guards against the product's column silently becoming one of
+// the baselines. In an overloaded run it must preempt at most a fifth as often as
+// "admit everything" and complete at least nine tenths of its tokens.
 func TestOursPreemptsLess(t *testing.T) {
 	cols := columns()
-	all := runOnce(small(), cols[baselines-1], 1.5, smallCapacity, 1)
-	own := runOnce(small(), cols[len(cols)-1], 1.5, smallCapacity, 1)
+	all := runOnce(smallWorkload(), cols[baselines-1], 1.5, smallCapacity, 1)
+	own := runOnce(smallWorkload(), cols[len(cols)-1], 1.5, smallCapacity, 1)
 	qt.Check(t, all.preemptions > 50, qt.IsTrue, qt.Commentf("%d", all.preemptions))
 	qt.Check(t, own.preemptions*5 <= all.preemptions, qt.IsTrue, qt.Commentf("%d of %d", own.preemptions, all.preemptions))
 	qt.Check(t, own.goodTokens*10 >= all.goodTokens*9, qt.IsTrue, qt.Commentf("%d of %d", own.goodTokens, all.goodTokens))
 }
 
-// TestSameFiguresAgain: one seed gives one set of figures, so that two pages can
-// be compared.
+// TestSameFiguresAgain checks that the same seed gives the same figures, so that
+// the results of two runs can be compared.
 func TestSameFiguresAgain(t *testing.T) {
 	for _, col := range columns() {
 		t.Run(col.name, func(t *testing.T) {
-			a := runOnce(small(), col, 1, smallCapacity, 2)
-			b := runOnce(small(), col, 1, smallCapacity, 2)
-			for _, r := range rows(small()) {
+			a := runOnce(smallWorkload(), col, 1, smallCapacity, 2)
+			b := runOnce(smallWorkload(), col, 1, smallCapacity, 2)
+			for _, r := range rows(smallWorkload()) {
 				qt.Check(t, r.of(a), qt.Equals, r.of(b), qt.Commentf(r.name))
 			}
 			qt.Check(t, a.reasons, qt.DeepEquals, b.reasons)
@@ -45,13 +46,14 @@
 	}
 }
 
-// TestEveryCallIsAccountedFor: each call ends completed, with a reason, or open
-// at the end; none is lost in a queue that was handed back.
+// TestEveryCallIsAccountedFor checks that each call is completed, ends with a
+// reason or is open at the end. It guards against calls lost when a draining
+// target returns its queue.
 func TestEveryCallIsAccountedFor(t *testing.T) {
 	for _, col := range columns() {
 		t.Run(col.name, func(t *testing.T) {
-			m := runOnce(small(), col, 1.3, smallCapacity, 3)
-			sum := m.good
+			m := runOnce(smallWorkload(), col, 1.3, smallCapacity, 3)
+			sum := m.completions
 			for _, n := range m.reasons {
 				sum += n
 			}
--- a/bench/policy/recovery.go
+++ b/bench/policy/recovery.go
@@ -14,36 +14,38 @@
 	"almondseam.dev/core/api"
 )
 
-// overloads are the loads of the recovery runs at their peak. The second is
-// heavy enough that callers are refused or give up, and come back.
+// overloads are the peak loads of the recovery runs, as multiples of capacity. At
+// the second one callers are refused or give up, and retry.
 var overloads = []float64{1.3, 2}
 
-// The overload lasts from a part of the run to another.
+// The length of a recovery run, and the fractions of it at which the overload
+// starts and ends.
 const (
 	recoveryLength = 500 * time.Second
-	overFrom       = 0.15
-	overTo         = 0.36
+	overloadStart  = 0.15
+	overloadEnd    = 0.36
 )
 
-// overload is the shape of a recovery run: 0.6 of capacity, then peak, then 0.6
-// again, as parts of the peak.
-func overload(peak float64) func(at float64) float64 {
+// overloadShape returns the load profile of a recovery run as a share of the peak:
+// 0.6 of capacity, then the peak, then 0.6 again.
+func overloadShape(peak float64) func(at float64) float64 {
 	return func(at float64) float64 {
-		if at >= overFrom && at < overTo {
+		if at >= overloadStart && at < overloadEnd {
 			return 1
 		}
 		return 0.6 / peak
 	}
 }
 
-// maxRetries bounds how often a caller comes back.
+// maxRetries is the maximum number of retries of a call.
 const maxRetries = 4
 
-// callersRetry makes callers come back when refused or tired of waiting: those
-// that were told when, not before; the others after four to six seconds.
-func callersRetry(w *world, end time.Duration) {
+// enableRetries makes callers retry after a refusal, a timeout or a stall. A caller
+// that was given a delay waits at least that long, at most half as long again; the
+// others wait four to six seconds.
+func enableRetries(w *world, end time.Duration) {
 	rng := rand.New(rand.NewPCG(w.seed, 0x4e74))
-	w.again = func(c *call, retryAfter time.Duration) {
+	w.retry = func(c *call, retryAfter time.Duration) {
 		if c.retries >= maxRetries {
 			return
 		}
@@ -53,7 +55,7 @@
 		next.attempt, next.node, next.avoid = 1, nil, nil
 		next.delivered, next.ended = 0, false
 		next.bound90, next.bound100 = 0, 0
-		next.told = retryAfter > 0
+		next.timedRetry = retryAfter > 0
 		if retryAfter == 0 {
 			retryAfter = 4 * time.Second
 		}
@@ -64,9 +66,9 @@
 	}
 }
 
-// measureRecovery prints the goodput before, in and after an overload in which
-// refused callers come back. Lengths don't shift here, so the capacity is
-// measured for them.
+// measureRecovery prints the goodput before, during and after an overload in which
+// callers retry. Output lengths don't shift in these runs, so the capacity is
+// measured without the shift as well.
 func measureRecovery(shifting *workload, seeds, workers int) {
 	steady := *shifting
 	steady.shift = 1
@@ -89,7 +91,7 @@
 	}
 	p.Wait()
 	fmt.Printf("\n### %s: 0.6 of capacity (%.1f requests/s), %.1f from %d s to %d s, 0.6 again; callers come back up to %d times\n\n",
-		load.name, capacity, peak, int(load.length.Seconds()*overFrom), int(load.length.Seconds()*overTo), maxRetries)
+		load.name, capacity, peak, int(load.length.Seconds()*overloadStart), int(load.length.Seconds()*overloadEnd), maxRetries)
 	out := tabwriter.NewWriter(os.Stdout, 0, 0, 2, ' ', 0)
 	defer out.Flush()
 	total := load.length.Seconds()
@@ -97,10 +99,10 @@
 		name     string
 		from, to float64
 	}{
-		{"before", 0.06, overFrom},
-		{"overload, first half", overFrom, (overFrom + overTo) / 2},
-		{"overload, second half", (overFrom + overTo) / 2, overTo},
-		{"after, first 110 s", overTo, 0.58},
+		{"before", 0.06, overloadStart},
+		{"overload, first half", overloadStart, (overloadStart + overloadEnd) / 2},
+		{"overload, second half", (overloadStart + overloadEnd) / 2, overloadEnd},
+		{"after, first 110 s", overloadEnd, 0.58},
 		{"after, next 110 s", 0.58, 0.8},
 		{"after, last 100 s", 0.8, 1},
 	}
@@ -118,15 +120,15 @@
 	}
 	counts := []row{
 		{"requests sent, those that came back included", func(m *measures) float64 { return float64(m.calls) }, false, 0},
-		{"completed", func(m *measures) float64 { return float64(m.good) }, true, 0},
-		{"told when to come back", func(m *measures) float64 { return float64(m.told) }, false, 0},
-		{"of these taken then, of 100", func(m *measures) float64 { return 100 * float64(m.taken) / float64(max(m.told, 1)) }, true, 1},
+		{"completed", func(m *measures) float64 { return float64(m.completions) }, true, 0},
+		{"told when to come back", func(m *measures) float64 { return float64(m.timedRetry) }, false, 0},
+		{"of these taken then, of 100", func(m *measures) float64 { return 100 * float64(m.timedAccepted) / float64(max(m.timedRetry, 1)) }, true, 1},
 		{"first token p95, s", func(m *measures) float64 { return float64(m.first.ValueAtQuantile(95)) / 1e6 }, false, 2},
 	}
 	for _, r := range counts {
 		line := []string{r.name}
 		for i := range cols {
-			median, worst := r.spread(all[i])
+			median, worst := r.medianAndWorst(all[i])
 			line = append(line, fmt.Sprintf("%.*f (%.*f)", r.digits, median, r.digits, worst))
 		}
 		fmt.Fprintln(out, strings.Join(line, "\t"))
@@ -138,7 +140,7 @@
 	for _, m := range runs {
 		sum := 0
 		for s := int(from); s < int(to); s++ {
-			sum += m.goodAt[s]
+			sum += m.goodTokensBySecond[s]
 		}
 		v = append(v, float64(sum)/(to-from))
 	}
@@ -148,7 +150,7 @@
 
 func recoverOnce(load *workload, col column, peak, capacity float64, seed uint64) *measures {
 	w := newWorld(load, seed, col)
-	callersRetry(w, load.length)
-	w.run(load.generate(seed, peak*capacity, overload(peak)), load.length)
+	enableRetries(w, load.length)
+	w.run(load.generate(seed, peak*capacity, overloadShape(peak)), load.length)
 	return w.m
 }
--- a/bench/policy/routers.go
+++ b/bench/policy/routers.go
@@ -10,20 +10,20 @@
 	"almondseam.dev/core/routing"
 )
 
-// placer chooses the engines to offer a call to, the best first. It is the
-// port behind which each column has its own way to place.
+// placer chooses the engines to offer a call to, the best first. Each column has
+// its own implementation.
 type placer interface {
 	choose(w *world, c *call) []*node
-	// sent and ended tell of calls placed and ended, so that a placer can
-	// correct late reports.
+	// sent and ended report calls that were placed and that ended, so that a placer
+	// can correct delayed load reports.
 	sent(w *world, c *call)
 	ended(w *world, c *call)
 	refused(w *world, c *call, n *node, retryAfter time.Duration)
-	// tick comes with every load report.
+	// tick runs at every load report, and when a node crashes or starts to drain.
 	tick(w *world)
 }
 
-// roundRobin takes the engines in turn, each entry on its own.
+// roundRobin chooses the engines in turn, separately for each entry.
 type roundRobin struct{ turn []int }
 
 func (p *roundRobin) choose(w *world, c *call) []*node {
@@ -52,18 +52,20 @@
 func (p *leastExact) refused(*world, *call, *node, time.Duration)  {}
 func (p *leastExact) tick(*world)                                  {}
 
-// leastLagged takes the engine with the fewest sequences in its last report,
-// which lags, and what this entry has itself sent since the report was taken.
+// leastLagged chooses the engine with the fewest sequences. It counts those in the
+// engine's last load report, which is delayed, those that this entry has sent since
+// that report, and the current queue of the gate.
 type leastLagged struct {
-	// recent[entry][node] are the times of what was sent and not yet reported.
-	recent [][][]time.Duration
+	// unreported[entry][node] holds the send times of the calls that are not yet in
+	// a load report.
+	unreported [][][]time.Duration
 }
 
 func (p *leastLagged) choose(w *world, c *call) []*node {
 	var best *node
 	least := 0
 	for i := range w.nodes {
-		// A different start for each call, so that ties spread.
+		// Start at a different node for each call to distribute ties.
 		n := w.nodes[(i+int(c.arrived))%len(w.nodes)]
 		if !n.open() {
 			continue
@@ -93,10 +95,10 @@
 }
 
 func (p *leastLagged) list(w *world, entry int, n *node) *[]time.Duration {
-	for len(p.recent) <= entry {
-		p.recent = append(p.recent, make([][]time.Duration, len(w.nodes)))
+	for len(p.unreported) <= entry {
+		p.unreported = append(p.unreported, make([][]time.Duration, len(w.nodes)))
 	}
-	return &p.recent[entry][n.index]
+	return &p.unreported[entry][n.index]
 }
 
 func (p *leastLagged) sent(w *world, c *call) {
@@ -104,8 +106,8 @@
 	*list = append(*list, w.now)
 }
 
-// leastExact takes the engine with the fewest sequences as of now, which no
-// entry can know; it makes the baseline stronger than it would be.
+// leastExact chooses the engine with the fewest sequences at the moment, which no
+// entry can know. This makes the baseline stronger than it would be in practice.
 type leastExact struct{}
 
 func (p *leastExact) choose(w *world, c *call) []*node {
@@ -123,9 +125,9 @@
 	return []*node{best}
 }
 
-// bids is the product's own routing: each entry asks the targets that its table
-// leads to for bids and offers to the best.
-type bids struct {
+// bidPlacer is the product's own routing: each entry asks the targets that its
+// routing table suggests for bids and offers the call to the best bidder.
+type bidPlacer struct {
 	tables  []*routing.Table
 	routers []*routing.Router
 	rng     *rand.Rand
@@ -133,8 +135,8 @@
 	zones   int
 }
 
-func newBids(w *world) *bids {
-	p := &bids{rng: rand.New(rand.NewPCG(w.seed, 0xb1d)), zones: w.load.zones}
+func newBidPlacer(w *world) *bidPlacer {
+	p := &bidPlacer{rng: rand.New(rand.NewPCG(w.seed, 0xb1d)), zones: w.load.zones}
 	for range w.load.zones {
 		t := routing.NewTable()
 		for _, n := range w.nodes {
@@ -151,7 +153,7 @@
 
 func zone(i int) api.Zone { return api.Zone("z" + strconv.Itoa(i)) }
 
-func (p *bids) choose(w *world, c *call) []*node {
+func (p *bidPlacer) choose(w *world, c *call) []*node {
 	now := epoch.Add(w.now)
 	p.buf = p.routers[c.entry].Choose(p.buf[:0], c.query(), now, p.rng)
 	var got []routing.Bid
@@ -159,7 +161,7 @@
 		n := w.byID[cand.ID]
 		b := routing.Bid{From: cand, Bid: admission.Bid{Refuse: api.ReasonTargetGone}}
 		if n.open() {
-			b.Bid = n.gate.(*ours).ctl.Bid(c.request(epoch), now)
+			b.Bid = n.gate.(*controllerGate).ctl.Bid(c.request(epoch), now)
 		}
 		if b.Refuse != "" {
 			c.refused, c.retryAfter = b.Refuse, b.Bid.RetryAfter
@@ -176,32 +178,33 @@
 		out = append(out, w.byID[got[i].From.ID])
 		got = append(got[:i], got[i+1:]...)
 	}
-	// Only the best is offered to; the others give their place back.
+	// The call is offered only to the best bidder; the others release their
+	// reservations.
 	for _, n := range out[min(1, len(out)):] {
-		n.gate.(*ours).ctl.Release(c.id)
+		n.gate.(*controllerGate).ctl.Release(c.id)
 	}
 	return out[:min(1, len(out))]
 }
 
-// query is the router's view of a call.
+// query returns the router's view of a call.
 func (c *call) query() routing.Query {
 	return routing.Query{Model: "m", Zone: zone(c.entry), Prefix: c.prefix, Prompt: c.prompt, Avoid: c.avoid}
 }
 
-func (p *bids) sent(w *world, c *call) {
+func (p *bidPlacer) sent(w *world, c *call) {
 	p.tables[c.entry].Sent(c.node.id, c.prompt, epoch.Add(w.now))
 	p.tables[c.entry].Succeeded(c.node.id)
 }
 
-func (p *bids) ended(w *world, c *call) {
+func (p *bidPlacer) ended(w *world, c *call) {
 	p.tables[c.entry].Ended(c.node.id, c.prompt, epoch.Add(w.now))
 }
 
-// refused does nothing: a target that is crowded for one request has room for
-// another, and its report says how crowded it is.
-func (p *bids) refused(*world, *call, *node, time.Duration) {}
+// refused does nothing: a target that refuses one request may have room for
+// another, and its load report says how crowded it is.
+func (p *bidPlacer) refused(*world, *call, *node, time.Duration) {}
 
-func (p *bids) tick(w *world) {
+func (p *bidPlacer) tick(w *world) {
 	now := epoch.Add(w.now)
 	for _, n := range w.nodes {
 		for _, t := range p.tables {
@@ -213,7 +216,7 @@
 				t.Leave(n.id, 1)
 				continue
 			}
-			running, waiting, free := n.gate.(*ours).ctl.Counts()
+			running, waiting, free := n.gate.(*controllerGate).ctl.Counts()
 			t.Report(n.id, 1, routing.Load{Running: running, Waiting: waiting, Free: free, Capacity: n.capacity(), Reported: now})
 		}
 	}
--- a/bench/policy/table.go
+++ b/bench/policy/table.go
@@ -8,17 +8,18 @@
 	"text/tabwriter"
 )
 
-// row is one line of a table: a figure of a run, and whether more is better.
+// row is one line of a table: a figure of a run and whether a higher value is
+// better.
 type row struct {
-	name string
-	of   func(m *measures) float64
-	more bool
-	// digits after the point.
+	name           string
+	of             func(m *measures) float64
+	higherIsBetter bool
+	// digits is the number of digits after the decimal point.
 	digits int
 }
 
-// rows are the figures that are always shown together, so that a gain in one
-// is not paid for unseen in another.
+// rows returns the figures of a table. They are always shown together, so that an
+// improvement in one can't hide a loss in another.
 func rows(load *workload) []row {
 	total := (load.length + drain).Seconds()
 	gap := func(q float64) func(m *measures) float64 {
@@ -35,22 +36,22 @@
 		{"first token p95, s", func(m *measures) float64 { return float64(m.first.ValueAtQuantile(95)) / 1e6 }, false, 2},
 		{"first token of short p95, s", func(m *measures) float64 { return float64(m.firstTag.ValueAtQuantile(95)) / 1e6 }, false, 2},
 		{"goodput, tokens/s", func(m *measures) float64 { return float64(m.goodTokens) / total }, true, 0},
-		{"completed, of 100", func(m *measures) float64 { return 100 * float64(m.good) / float64(m.calls) }, true, 1},
-		{"redone tokens", func(m *measures) float64 { return float64(m.redone) }, false, 0},
-		{"tokens thrown away", func(m *measures) float64 { return float64(m.wasted) }, false, 0},
+		{"completed, of 100", func(m *measures) float64 { return 100 * float64(m.completions) / float64(m.calls) }, true, 1},
+		{"redone tokens", func(m *measures) float64 { return float64(m.recomputedTokens) }, false, 0},
+		{"tokens thrown away", func(m *measures) float64 { return float64(m.discardedTokens) }, false, 0},
 		{"fairness (Jain)", (*measures).fairness, true, 3},
 	}
 }
 
-// spread is the median and the worst of a figure over the seeds.
-func (r *row) spread(runs []*measures) (median, worst float64) {
+// medianAndWorst returns the median and the worst value of a figure over the seeds.
+func (r *row) medianAndWorst(runs []*measures) (median, worst float64) {
 	var v []float64
 	for _, m := range runs {
 		v = append(v, r.of(m))
 	}
 	slices.Sort(v)
 	worst = v[len(v)-1]
-	if r.more {
+	if r.higherIsBetter {
 		worst = v[0]
 	}
 	return v[len(v)/2], worst
@@ -67,7 +68,7 @@
 	for _, r := range rows(load) {
 		line := []string{r.name}
 		for i := range cols {
-			median, worst := r.spread(all[i])
+			median, worst := r.medianAndWorst(all[i])
 			line = append(line, fmt.Sprintf("%.*f (%.*f)", r.digits, median, r.digits, worst))
 		}
 		fmt.Fprintln(out, strings.Join(line, "\t"))
@@ -76,7 +77,7 @@
 		r := row{name: reason, of: func(m *measures) float64 { return float64(m.reasons[reason]) }}
 		line := []string{"not answered: " + reason}
 		for i := range cols {
-			median, worst := r.spread(all[i])
+			median, worst := r.medianAndWorst(all[i])
 			line = append(line, fmt.Sprintf("%.0f (%.0f)", median, worst))
 		}
 		fmt.Fprintln(out, strings.Join(line, "\t"))
@@ -100,11 +101,11 @@
 	return out
 }
 
-// printAims compares the last column with the baselines, on medians.
+// printAims compares the medians of the last column with those of the baselines.
 func printAims(cols []column, all [][]*measures) {
 	median := func(i int, of func(m *measures) float64) float64 {
 		r := row{of: of}
-		v, _ := r.spread(all[i])
+		v, _ := r.medianAndWorst(all[i])
 		return v
 	}
 	good := func(m *measures) float64 { return float64(m.goodTokens) }
@@ -137,8 +138,8 @@
 	fmt.Printf("- %s: %.1f, aim %s %.1f: %s\n", name, got, word, bound, verdict)
 }
 
-// printCalibration shows, over all seeds, how often the 90% bound held and how
-// the predicted waits compare with the real ones.
+// printCalibration prints, over all seeds, how often the 90% length bound held and
+// how the predicted waits compare with the actual ones.
 func printCalibration(runs []*measures) {
 	sum := map[string][2]ratio{}
 	var waits []waitPair
@@ -146,8 +147,8 @@
 		for kind, b := range m.bounds {
 			s := sum[kind]
 			for j := range b {
-				s[j].held += b[j].held
-				s[j].asked += b[j].asked
+				s[j].within += b[j].within
+				s[j].total += b[j].total
 			}
 			sum[kind] = s
 		}
@@ -166,37 +167,39 @@
 }
 
 func (r ratio) String() string {
-	if r.asked == 0 {
+	if r.total == 0 {
 		return "(none)"
 	}
-	return fmt.Sprintf("%.1f of 100 (%d)", 100*float64(r.held)/float64(r.asked), r.asked)
+	return fmt.Sprintf("%.1f of 100 (%d)", 100*float64(r.within)/float64(r.total), r.total)
 }
 
-// waitBands gives the mean real wait in bands of the predicted one.
+// waitBands returns the mean predicted and actual wait for each band of predicted
+// waits.
 func waitBands(waits []waitPair) string {
 	edges := []float64{0.001, 1, 3, 10, 30, 1000}
 	var parts []string
 	low := -1.0
 	for _, e := range edges {
 		var n int
-		var said, real float64
+		var predicted, actual float64
 		for _, p := range waits {
-			if p.said >= low && p.said < e {
+			if p.predicted >= low && p.predicted < e {
 				n++
-				said += p.said
-				real += p.real
+				predicted += p.predicted
+				actual += p.actual
 			}
 		}
 		if n > 0 {
-			parts = append(parts, fmt.Sprintf("%.1f→%.1f s (%d)", said/float64(n), real/float64(n), n))
+			parts = append(parts, fmt.Sprintf("%.1f→%.1f s (%d)", predicted/float64(n), actual/float64(n), n))
 		}
 		low = e
 	}
 	return strings.Join(parts, ", ")
 }
 
-// closeOpen counts what was still open at the end of the run.
-func (m *measures) closeOpen(w *world) {
+// countUnfinished counts the calls that are still open at the end of the run, and
+// their stall time.
+func (m *measures) countUnfinished(w *world) {
 	for _, n := range w.nodes {
 		if n.dead {
 			continue
--- a/bench/policy/ways.go
+++ b/bench/policy/ways.go
@@ -7,16 +7,16 @@
 	"almondseam.dev/core/routing"
 )
 
-// placementWays are ways to place requests before the same gates, so that they
-// differ in nothing but who decides with what knowledge. The last is the
-// product's own.
-func placementWays() []column {
+// placementPolicies returns policies that place requests in front of the same
+// gates, so that they differ only in who decides and with what knowledge. The last
+// one is the product's own.
+func placementPolicies() []column {
 	reports := func(every int) func(w *world) placer {
-		return func(w *world) placer { return &reportsOnly{bids: newBids(w), every: every} }
+		return func(w *world) placer { return &reportsOnly{bidPlacer: newBidPlacer(w), every: every} }
 	}
 	asking := func(n int) func(w *world) placer {
 		return func(w *world) placer {
-			p := newBids(w)
+			p := newBidPlacer(w)
 			for i, t := range p.tables {
 				p.routers[i] = routing.NewRouter(t, routing.Options{Ask: n})
 			}
@@ -24,25 +24,26 @@
 		}
 	}
 	return []column{
-		{"central", ownGate, func(w *world) placer { return &central{newBids(w)} }},
-		{"reports 0.2 s", ownGate, reports(1)},
-		{"reports 1 s", ownGate, reports(5)},
-		{"reports 5 s", ownGate, reports(25)},
-		{"reports 0.2 s, 4 offers", ownGate, func(w *world) placer { return &reportsOnly{bids: newBids(w), every: 1, offers: 4} }},
-		{"1 bid", ownGate, asking(1)},
-		{"3 bids", ownGate, asking(3)},
-		{"2 bids, reports 5 s", ownGate, func(w *world) placer { return &slowReports{bids: newBids(w), every: 25} }},
-		{"2 bids", ownGate, func(w *world) placer { return newBids(w) }},
+		{"central", controllerGateFromFlags, func(w *world) placer { return &central{newBidPlacer(w)} }},
+		{"reports 0.2 s", controllerGateFromFlags, reports(1)},
+		{"reports 1 s", controllerGateFromFlags, reports(5)},
+		{"reports 5 s", controllerGateFromFlags, reports(25)},
+		{"reports 0.2 s, 4 offers", controllerGateFromFlags, func(w *world) placer { return &reportsOnly{bidPlacer: newBidPlacer(w), every: 1, offers: 4} }},
+		{"1 bid", controllerGateFromFlags, asking(1)},
+		{"3 bids", controllerGateFromFlags, asking(3)},
+		{"2 bids, reports 5 s", controllerGateFromFlags, func(w *world) placer { return &slowReports{bidPlacer: newBidPlacer(w), every: 25} }},
+		{"2 bids", controllerGateFromFlags, func(w *world) placer { return newBidPlacer(w) }},
 	}
 }
 
-// reportsOnly offers to the router's first choice without asking for a bid; it
-// knows the targets by their reports alone.
+// reportsOnly offers a request to the router's first choice without asking for a
+// bid. It knows the targets only by their load reports.
 type reportsOnly struct {
-	*bids
+	*bidPlacer
 	every, ticks int
-	// offers is the number of targets that a request is offered to; 0 is that
-	// of the other ways, of which those with two bids ask twice as many.
+	// offers is the number of targets that a request is offered to; 0 means
+	// maxTries, as in the other policies. A policy with two bids asks two targets
+	// for each offer, so it reaches twice as many targets.
 	offers int
 }
 
@@ -57,18 +58,19 @@
 	return nil
 }
 
-func (p *reportsOnly) tick(w *world) { everyNth(p.bids, w, &p.ticks, p.every) }
+func (p *reportsOnly) tick(w *world) { forwardEveryNth(p.bidPlacer, w, &p.ticks, p.every) }
 
-// slowReports is the product's own placing with rarer reports.
+// slowReports is the product's own routing with less frequent load reports.
 type slowReports struct {
-	*bids
+	*bidPlacer
 	every, ticks int
 }
 
-func (p *slowReports) tick(w *world) { everyNth(p.bids, w, &p.ticks, p.every) }
+func (p *slowReports) tick(w *world) { forwardEveryNth(p.bidPlacer, w, &p.ticks, p.every) }
 
-// everyNth passes on every n-th report, and all of what came and went.
-func everyNth(p *bids, w *world, ticks *int, n int) {
+// forwardEveryNth forwards every n-th load report to the tables, but always
+// forwards that a node has crashed or is draining.
+func forwardEveryNth(p *bidPlacer, w *world, ticks *int, n int) {
 	*ticks++
 	if *ticks%n == 0 {
 		p.tick(w)
@@ -85,9 +87,10 @@
 	}
 }
 
-// central asks every target at once, as a placer could that knows all of them
-// without lag: the best that bids can give, and more than an entry can know.
-type central struct{ *bids }
+// central asks every open target for a bid, as a placer could that knows all
+// targets without delay. This is the best result that bids can give and needs more
+// knowledge than an entry can have.
+type central struct{ *bidPlacer }
 
 func (p *central) choose(w *world, c *call) []*node {
 	var got []routing.Bid
@@ -95,9 +98,9 @@
 		if !n.open() {
 			continue
 		}
-		running, waiting, _ := n.gate.(*ours).ctl.Counts()
+		running, waiting, _ := n.gate.(*controllerGate).ctl.Counts()
 		b := routing.Bid{From: routing.Candidate{ID: n.id, Own: true, Score: float64(running + waiting)}}
-		b.Bid = n.gate.(*ours).ctl.Bid(c.request(epoch), epoch.Add(w.now))
+		b.Bid = n.gate.(*controllerGate).ctl.Bid(c.request(epoch), epoch.Add(w.now))
 		if b.Refuse != "" {
 			c.refused, c.retryAfter = b.Refuse, b.RetryAfter
 		}
@@ -106,7 +109,7 @@
 	best := routing.BestBid(got)
 	for i, b := range got {
 		if i != best {
-			w.byID[b.From.ID].gate.(*ours).ctl.Release(c.id)
+			w.byID[b.From.ID].gate.(*controllerGate).ctl.Release(c.id)
 		}
 	}
 	if best < 0 {
@@ -115,19 +118,20 @@
 	return []*node{w.byID[got[best].From.ID]}
 }
 
-// measureWays prints the ways to place for one workload and load.
-func measureWays(load *workload, names []string, part, capacity float64, seeds, workers int) {
-	cols := slices.DeleteFunc(placementWays(), func(c column) bool {
+// comparePlacements prints the comparison of the placement policies for one
+// workload and load.
+func comparePlacements(load *workload, names []string, loadFraction, capacity float64, seeds, workers int) {
+	cols := slices.DeleteFunc(placementPolicies(), func(c column) bool {
 		return len(names) > 0 && !slices.Contains(names, c.name)
 	})
-	all := runColumns(load, cols, part, capacity, seeds, workers)
-	fmt.Printf("\n### Placing, %s at %.1f of capacity, %d seeds: median (worst)\n\n", load.name, part, seeds)
+	all := runColumns(load, cols, loadFraction, capacity, seeds, workers)
+	fmt.Printf("\n### Placing, %s at %.1f of capacity, %d seeds: median (worst)\n\n", load.name, loadFraction, seeds)
 	printTable(load, cols, all)
 	printWins(load, cols, all)
 }
 
-// printWins tells in how many seeds the last column is better than each other:
-// with few seeds that says more than medians that lie close together.
+// printWins prints, for each other column, in how many of the seeds whose results
+// differ the last column is better. With few seeds this says more than medians that lie close together.
 func printWins(load *workload, cols []column, all [][]*measures) {
 	last := len(cols) - 1
 	fmt.Printf("\n%s is better (of the seeds in which the two differ):\n", cols[last].name)
@@ -140,7 +144,7 @@
 				if own != other {
 					differ++
 				}
-				if own != other && own > other == r.more {
+				if own != other && own > other == r.higherIsBetter {
 					better++
 				}
 			}
--- a/bench/policy/workload.go
+++ b/bench/policy/workload.go
@@ -11,16 +11,17 @@
 	"almondseam.dev/node/standin"
 )
 
-// lengths is a distribution of output lengths: lognormal, and for a part of the
-// sequences a Pareto tail on top.
-type lengths struct {
+// lengthDistribution is a distribution of output lengths: lognormal, with a Pareto
+// tail on a share of the sequences.
+type lengthDistribution struct {
 	median float64
 	sigma  float64
 	tail   float64
 }
 
-// draw is one length of at most limit tokens; scale stretches it.
-func (l lengths) draw(rng *rand.Rand, scale float64, limit int) int {
+// draw returns a random length of at most limit tokens; scale multiplies the
+// median.
+func (l lengthDistribution) draw(rng *rand.Rand, scale float64, limit int) int {
 	n := l.median * scale * math.Exp(l.sigma*rng.NormFloat64())
 	if rng.Float64() < l.tail {
 		n *= math.Pow(1-rng.Float64(), -1/1.5)
@@ -28,40 +29,40 @@
 	return min(max(1, int(n)), limit)
 }
 
-// kindSpec is one kind of request of a workload.
+// kindSpec describes one kind of request of a workload.
 type kindSpec struct {
 	name   string
 	class  admission.Class
-	out    lengths
+	out    lengthDistribution
 	prefix int
-	// prompt is the range of prompt tokens after the prefix.
+	// promptLow and promptHigh bound the number of prompt tokens after the prefix.
 	promptLow, promptHigh int
 	maxTokens             int
 	patience              time.Duration
 }
 
-// workload is one site's traffic.
+// workload describes the traffic of one site.
 type workload struct {
 	name    string
 	engines int
 	zones   int
 	engine  standin.Config
-	// shares are the customers' parts of the traffic.
+	// shares are the customers' shares of the traffic.
 	shares []float64
-	// noteShare is the part of requests that are notes.
+	// noteShare is the share of requests that are notes.
 	noteShare float64
 	note, tag kindSpec
-	// shift stretches the notes of every shiftEvery-th customer from the
-	// middle of the run on.
+	// shift multiplies the median note length of every shiftEvery-th customer in
+	// the second half of the run.
 	shift      float64
 	shiftEvery int
-	// length of the run in virtual time.
+	// length is the duration of the run in virtual time.
 	length time.Duration
 }
 
 var shares = []float64{0.28, 0.2, 0.14, 0.09, 0.08, 0.07, 0.05, 0.04, 0.03, 0.02}
 
-// workloads are the two sites of the brief.
+// workloads returns the workloads of the two benchmark sites.
 func workloads() []workload {
 	engine := standin.Config{Blocks: 2500, BlockTokens: 16}
 	return []workload{
@@ -69,11 +70,11 @@
 			name: "Sur Sangat", engines: 12, zones: 3, engine: engine, shares: shares,
 			noteShare: 0.45,
 			note: kindSpec{
-				name: "note", class: admission.ClassNote, out: lengths{350, 0.7, 0.05},
+				name: "note", class: admission.ClassNote, out: lengthDistribution{350, 0.7, 0.05},
 				prefix: 512, promptLow: 60, promptHigh: 500, maxTokens: 4096, patience: time.Minute,
 			},
 			tag: kindSpec{
-				name: "tag", class: admission.ClassTag, out: lengths{12, 0.5, 0},
+				name: "tag", class: admission.ClassTag, out: lengthDistribution{12, 0.5, 0},
 				prefix: 256, promptLow: 20, promptHigh: 120, maxTokens: 128, patience: 15 * time.Second,
 			},
 			shift: 1.8, shiftEvery: 1, length: 300 * time.Second,
@@ -82,11 +83,11 @@
 			name: "Atlas Lumière", engines: 14, zones: 4, engine: engine, shares: shares,
 			noteShare: 0.35,
 			note: kindSpec{
-				name: "narrative", class: admission.ClassNote, out: lengths{550, 0.8, 0.08},
+				name: "narrative", class: admission.ClassNote, out: lengthDistribution{550, 0.8, 0.08},
 				prefix: 768, promptLow: 100, promptHigh: 600, maxTokens: 4096, patience: time.Minute,
 			},
 			tag: kindSpec{
-				name: "label", class: admission.ClassTag, out: lengths{8, 0.5, 0},
+				name: "label", class: admission.ClassTag, out: lengthDistribution{8, 0.5, 0},
 				prefix: 256, promptLow: 20, promptHigh: 100, maxTokens: 64, patience: 15 * time.Second,
 			},
 			shift: 2, shiftEvery: 2, length: 300 * time.Second,
@@ -94,7 +95,7 @@
 	}
 }
 
-// call is one caller's request and what became of it.
+// call is one caller's request and its state.
 type call struct {
 	id       api.RequestID
 	attempt  api.Attempt
@@ -113,25 +114,25 @@
 	ended     bool
 	avoid     []api.TargetID
 	tries     int
-	// refused and retryAfter are the last refusal.
+	// refused and retryAfter come from the last refusal.
 	refused    api.Reason
 	retryAfter time.Duration
-	// started is when it was given to the engine; waitSaid what was
-	// predicted at the offer.
-	started  time.Duration
-	offered  time.Duration
-	waitSaid time.Duration
-	// bound90 is the 90% bound on its length as of the offer, and bound100
-	// that as of its 100th token.
+	// started is when the call was submitted to the engine; predictedWait is the
+	// wait predicted when the call was offered.
+	started       time.Duration
+	offered       time.Duration
+	predictedWait time.Duration
+	// bound90 is the 90% bound on the call's output length as predicted at the
+	// offer, and bound100 the one predicted after its 100th token.
 	bound90  int
 	bound100 int
 	retries  int
-	// told is set when it comes back at the time it was told.
-	told bool
+	// timedRetry is set on a retry after a delay given with the refusal.
+	timedRetry bool
 }
 
-// rates is the lunch hour: the part of the peak rate at a part of the run.
-func rates(at float64) float64 {
+// lunchHourShape returns the share of the peak rate at a given fraction of the run.
+func lunchHourShape(at float64) float64 {
 	switch {
 	case at < 0.25:
 		return 0.4 + 0.6*at/0.25
@@ -142,8 +143,8 @@
 	}
 }
 
-// generate draws the calls of one run; peak is in requests per second, shape
-// gives its part over the run.
+// generate draws the calls of one run. peak is in requests per second; shape
+// returns the share of the peak at a given fraction of the run.
 func (w *workload) generate(seed uint64, peak float64, shape func(float64) float64) []*call {
 	rng := rand.New(rand.NewPCG(seed, 0x10ad))
 	var out []*call
@@ -154,8 +155,8 @@
 		if at >= total {
 			return out
 		}
-		// Every draw is made whether the call is kept or not, so that two
-		// loads of one seed stay alike.
+		// All values are drawn whether the call is kept or not, so that runs with
+		// the same seed and different loads draw the same sequence of calls.
 		keep := rng.Float64() < shape(at/total)
 		c := w.draw(rng, at >= total/2)
 		if !keep {
@@ -168,9 +169,9 @@
 	}
 }
 
-// draw makes one call, before or after the shift of lengths.
+// draw returns a random call from before or after the shift of lengths.
 func (w *workload) draw(rng *rand.Rand, shifted bool) *call {
-	c := &call{attempt: 1, customer: pickShare(rng, w.shares), spec: &w.tag}
+	c := &call{attempt: 1, customer: drawCustomer(rng, w.shares), spec: &w.tag}
 	if rng.Float64() < w.noteShare {
 		c.spec = &w.note
 	}
@@ -185,7 +186,7 @@
 	return c
 }
 
-func pickShare(rng *rand.Rand, shares []float64) int {
+func drawCustomer(rng *rand.Rand, shares []float64) int {
 	f := rng.Float64()
 	for i, s := range shares {
 		if f < s {
@@ -198,7 +199,7 @@
 
 func customerID(i int) api.CustomerID { return api.CustomerID("c" + strconv.Itoa(i)) }
 
-// request is the controller's view of a call.
+// request returns the controller's view of a call.
 func (c *call) request(start time.Time) admission.Request {
 	return admission.Request{
 		ID: c.id, Attempt: c.attempt, Customer: customerID(c.customer), Model: "m",
--- a/bench/policy/world.go
+++ b/bench/policy/world.go
@@ -9,17 +9,17 @@
 	"almondseam.dev/node/standin"
 )
 
-// The moments of a run.
+// Intervals and limits of a run.
 const (
-	reportEvery = 200 * time.Millisecond
-	sweepEvery  = time.Second
+	reportEvery     = 200 * time.Millisecond
+	stallCheckEvery = time.Second
 	// stallPatience is how long a caller waits for the next token.
 	stallPatience = 30 * time.Second
 	// drain is the time after the last arrival in which answers still count.
 	drain = 90 * time.Second
 )
 
-// node is one engine with the gate before it.
+// node is one engine and its gate.
 type node struct {
 	id       api.TargetID
 	index    int
@@ -39,19 +39,19 @@
 	return cfg.Blocks * cfg.BlockTokens
 }
 
-// gateWaiting is the queue that a gate keeps before the engine, as of now.
+// gateWaiting returns the current length of the gate's queue.
 func (n *node) gateWaiting() int {
 	switch g := n.gate.(type) {
 	case *reserve:
 		return len(g.queue)
-	case *ours:
+	case *controllerGate:
 		_, waiting, _ := g.ctl.Counts()
 		return waiting
 	}
 	return 0
 }
 
-// event is something that happens at a time.
+// event is a function that runs at a point in virtual time.
 type event struct {
 	at  time.Duration
 	seq int
@@ -77,7 +77,7 @@
 	return last
 }
 
-// world is one run in virtual time.
+// world is the state of one simulated run in virtual time.
 type world struct {
 	load   *workload
 	seed   uint64
@@ -88,12 +88,12 @@
 	byID   map[api.TargetID]*node
 	place  placer
 	m      *measures
-	// again is what a caller does when refused or tired of waiting; nil for
-	// nothing.
-	again func(c *call, retryAfter time.Duration)
+	// retry simulates what a caller does after a refusal, a timeout or a stall. If
+	// it is nil, callers don't retry.
+	retry func(c *call, retryAfter time.Duration)
 }
 
-// column is one way to decide.
+// column is one policy of the comparison, shown as a column of the tables.
 type column struct {
 	name  string
 	gate  func(capacity int) gate
@@ -119,7 +119,7 @@
 	heap.Push(&w.events, event{at: at, seq: w.seq, do: do})
 }
 
-// run plays the calls until end.
+// run simulates the calls until end.
 func (w *world) run(calls []*call, end time.Duration) {
 	for _, c := range calls {
 		w.at(c.arrived, func() { w.arrive(c) })
@@ -128,7 +128,7 @@
 		w.place.tick(w)
 		w.yield()
 	})
-	w.every(sweepEvery, end, w.sweep)
+	w.every(stallCheckEvery, end, w.abandonStalled)
 	for len(w.events) > 0 {
 		ev := heap.Pop(&w.events).(event)
 		if ev.at > end {
@@ -158,19 +158,19 @@
 			w.abandon(c, "timeout")
 		}
 	})
-	w.put(c)
-	if c.told {
-		w.m.told++
+	w.dispatch(c)
+	if c.timedRetry {
+		w.m.timedRetry++
 	}
-	if c.told && c.node != nil {
-		w.m.taken++
+	if c.timedRetry && c.node != nil {
+		w.m.timedAccepted++
 	}
 }
 
-// maxTries bounds the targets that one request is offered to.
+// maxTries is the default limit of attempts to place a request.
 const maxTries = 2
 
-// tries is the number of targets that one request is offered to.
+// tries returns the limit of attempts to place a request.
 func (w *world) tries() int {
 	if p, ok := w.place.(*reportsOnly); ok && p.offers > 0 {
 		return p.offers
@@ -178,8 +178,9 @@
 	return maxTries
 }
 
-// put offers a call until a target takes it.
-func (w *world) put(c *call) {
+// dispatch offers a call to targets until one accepts it. If none does within the
+// limit of attempts, the call ends with the reason of the last refusal.
+func (w *world) dispatch(c *call) {
 	c.refused, c.retryAfter = api.ReasonNoTarget, 0
 	for c.tries = 0; c.tries < w.tries(); c.tries++ {
 		chosen := w.place.choose(w, c)
@@ -192,20 +193,20 @@
 			c.node = n
 			n.calls[string(c.id)] = c
 			w.place.sent(w, c)
-			w.kick(n)
+			w.advance(n)
 			return
 		}
 		w.place.refused(w, c, n, c.retryAfter)
 		c.avoid = append(c.avoid, n.id)
 	}
 	w.end(c, string(c.refused))
-	if w.again != nil {
-		w.again(c, c.retryAfter)
+	if w.retry != nil {
+		w.retry(c, c.retryAfter)
 	}
 }
 
-// kick gives the engine what may start and lets it step.
-func (w *world) kick(n *node) {
+// advance submits the calls that may start to the engine and runs its next step.
+func (w *world) advance(n *node) {
 	if n.dead {
 		return
 	}
@@ -227,13 +228,13 @@
 		w.m.preemptions++
 		n.gate.preempted(n.calls[id], w.now)
 	}
-	w.m.redone += n.res.Redone
+	w.m.recomputedTokens += n.res.Redone
 	n.stepping = true
-	w.at(w.now+n.res.Took, func() { w.stepped(n) })
+	w.at(w.now+n.res.Took, func() { w.finishStep(n) })
 }
 
-// stepped hands out the tokens of a step that has ended.
-func (w *world) stepped(n *node) {
+// finishStep delivers the tokens of a step that has ended.
+func (w *world) finishStep(n *node) {
 	n.stepping = false
 	if n.dead {
 		return
@@ -246,7 +247,7 @@
 		w.m.token(c, w.now)
 		if t.Last {
 			n.gate.done(c, true)
-			w.leave(c)
+			w.detach(c)
 			w.m.completed(c)
 			c.ended = true
 			continue
@@ -256,18 +257,18 @@
 	for _, id := range n.res.Failed {
 		if c, ok := n.calls[id]; ok {
 			n.gate.done(c, false)
-			w.leave(c)
+			w.detach(c)
 			w.end(c, "outgrown")
 		}
 	}
-	w.kick(n)
+	w.advance(n)
 }
 
-// yield gives our gates the engines' late reports and lets them make room where
-// one shows no memory.
+// yield passes the engines' delayed load reports to the product's gates and
+// withdraws a call from each engine whose report shows that memory is running out.
 func (w *world) yield() {
 	for _, n := range w.nodes {
-		g, ok := n.gate.(*ours)
+		g, ok := n.gate.(*controllerGate)
 		if !ok || n.dead {
 			continue
 		}
@@ -280,8 +281,8 @@
 	}
 }
 
-// leave takes a call off its node.
-func (w *world) leave(c *call) {
+// detach removes a call from its node.
+func (w *world) detach(c *call) {
 	delete(c.node.calls, string(c.id))
 	w.place.ended(w, c)
 }
@@ -292,33 +293,34 @@
 	w.m.failed(c, reason)
 }
 
-// abandon is a caller that leaves: the stream is cancelled.
+// abandon cancels the stream of a caller that leaves.
 func (w *world) abandon(c *call, reason string) {
 	n := c.node
 	n.gate.cancel(c)
 	n.eng.Cancel(string(c.id), epoch.Add(w.now))
-	w.leave(c)
-	w.m.wasted += c.delivered
+	w.detach(c)
+	w.m.discardedTokens += c.delivered
 	w.end(c, reason)
-	w.kick(n)
-	if w.again != nil {
-		w.again(c, 0)
+	w.advance(n)
+	if w.retry != nil {
+		w.retry(c, 0)
 	}
 }
 
-// sweep lets callers go whose answer has stood still for too long.
-func (w *world) sweep() {
+// abandonStalled abandons the calls that have received no token for longer than
+// stallPatience after an earlier one.
+func (w *world) abandonStalled() {
 	for _, n := range w.nodes {
 		for _, c := range n.sorted() {
 			if c.delivered > 0 && w.now-c.last > stallPatience {
-				w.m.stalledOut(c, w.now)
+				w.m.stallAbandoned(c, w.now)
 				w.abandon(c, "stalled")
 			}
 		}
 	}
 }
 
-// sorted lists a node's calls in a fixed order.
+// sorted returns the node's calls in a fixed order.
 func (n *node) sorted() []*call {
 	out := make([]*call, 0, len(n.calls))
 	for _, c := range n.calls {
@@ -328,35 +330,36 @@
 	return out
 }
 
-// lose kills an engine: what has delivered is interrupted, the rest is proved
-// to have delivered nothing and goes elsewhere.
-func (w *world) lose(n *node) {
+// crash stops an engine. Calls that have delivered tokens end as interrupted; the
+// others are known to have delivered nothing and are dispatched again.
+func (w *world) crash(n *node) {
 	n.dead = true
 	w.place.tick(w)
 	for _, c := range n.sorted() {
 		n.gate.cancel(c)
-		w.leave(c)
+		w.detach(c)
 		if c.delivered > 0 {
-			w.m.wasted += c.delivered
+			w.m.discardedTokens += c.delivered
 			w.end(c, "interrupted")
 			continue
 		}
-		w.replace(c)
+		w.redispatch(c)
 	}
 }
 
-// depart lets an engine finish what runs and hands its queue back.
-func (w *world) depart(n *node) {
+// startDraining lets an engine finish its running calls and dispatches the calls
+// in its queue to other engines.
+func (w *world) startDraining(n *node) {
 	n.leaving = true
 	w.place.tick(w)
-	for _, c := range n.gate.handBack() {
-		w.leave(c)
-		w.replace(c)
+	for _, c := range n.gate.drainQueue() {
+		w.detach(c)
+		w.redispatch(c)
 	}
 }
 
-func (w *world) replace(c *call) {
+func (w *world) redispatch(c *call) {
 	c.attempt++
 	c.node = nil
-	w.put(c)
+	w.dispatch(c)
 }
