--- a/bench/soak/check.go
+++ b/bench/soak/check.go
@@ -10,51 +10,57 @@
 	"almondseam.dev/platform/standin"
 )
 
-// The bounds within which promises that need a calm fleet must hold.
+// Bounds for the guarantees that are checked only while the fleet is free of faults.
 const (
-	// settle is how long after the last fault the fleet counts as calm.
-	settle = 6 * time.Second
-	// inForce is how soon an accepted configuration is in force and read
-	// everywhere; drainBound how soon a leaving target gets nothing more. Both are two
-	// seconds, and one more for what was on its way.
-	inForce    = 3 * time.Second
-	drainBound = 3 * time.Second
-	// evacuationBound is how soon nothing new reaches the targets of an evacuated zone.
+	// settleTime is the time after the last fault until the fleet counts as calm.
+	settleTime = 6 * time.Second
+	// propagationBound is the time within which an accepted configuration must be applied
+	// by all entries and returned by all control members. drainBound is the time within
+	// which a draining target must stop receiving requests. Both are the guaranteed two
+	// seconds plus one second for requests that were already in flight.
+	propagationBound = 3 * time.Second
+	drainBound       = 3 * time.Second
+	// evacuationBound is the time within which the targets of an evacuated availability
+	// zone must stop receiving new requests.
 	evacuationBound = 5 * time.Second
-	// servedAtLeast is the part of calls that a calm fleet answers with success.
-	servedAtLeast = 0.97
-	// retryRatio, retrySlack and retryWindow are the fleet's retry budget: little, so
-	// that faults use it up.
+	// minSuccessRatio is the fraction of calls that a calm fleet must answer successfully.
+	minSuccessRatio = 0.97
+	// retryRatio, retrySlack and retryWindow are the retry budget that the fleet is
+	// configured with. The budget is small so that faults exhaust it.
 	retryRatio  = 0.02
 	retrySlack  = 8.0
 	retryWindow = 10 * time.Second
 )
 
-// call is what is kept of a caller's request.
+// call records a caller's request: its kind, when it was sent, the runs of it that targets
+// reported, and whether the caller was told that it did not run.
 type call struct {
-	what    traffic
+	kind    requestKind
 	sent    time.Time
 	runs    []standin.Run
 	refused bool
 }
 
-// checker holds what was seen against what was promised. Its methods are called
-// from many goroutines.
+// checker records what callers, targets and operators observe and checks it against the
+// system's guarantees. Its exported methods may be called concurrently.
 type checker struct {
-	mu      sync.Mutex
-	calls   map[api.RequestID]*call
-	broken  []string
-	drained map[api.TargetID]time.Time
-	// evacuated is when the evacuation in force of each zone was confirmed.
+	mu         sync.Mutex
+	calls      map[api.RequestID]*call
+	violations []string
+	drained    map[api.TargetID]time.Time
+	// evacuated holds the time at which the current evacuation of a zone was confirmed.
 	evacuated map[api.Zone]time.Time
-	// services is the service of the changing route by version; acked are accepted
-	// versions in the order of their acknowledgement.
-	services map[uint64]api.ServiceID
-	acked    []ack
-	// calmFrom is since when there has been no fault; zero while there are.
-	calmFrom     time.Time
-	calm, served int
-	// sent are the times of all calls, retries those of runs beyond a call's first.
+	// serviceByVersion holds the service that the changing route names in each proposed
+	// configuration version. acked holds the accepted versions in the order of their
+	// acknowledgement.
+	serviceByVersion map[uint64]api.ServiceID
+	acked            []ack
+	// calmSince is the time at which the last fault ended; zero during a fault phase and
+	// before the first one.
+	calmSince              time.Time
+	calmCalls, servedCalls int
+	// sent holds the times of all calls; retries holds, for each service, the start times
+	// of all runs of a call after its first.
 	sent    []time.Time
 	retries map[api.ServiceID][]time.Time
 	limits  limits
@@ -66,50 +72,54 @@
 }
 
 func newChecker() *checker {
-	return &checker{calls: make(map[api.RequestID]*call), drained: make(map[api.TargetID]time.Time), evacuated: make(map[api.Zone]time.Time), services: make(map[uint64]api.ServiceID), retries: make(map[api.ServiceID][]time.Time), limits: newLimits()}
+	return &checker{calls: make(map[api.RequestID]*call), drained: make(map[api.TargetID]time.Time), evacuated: make(map[api.Zone]time.Time), serviceByVersion: make(map[uint64]api.ServiceID), retries: make(map[api.ServiceID][]time.Time), limits: newLimits()}
 }
 
-// fail notes a broken promise. The lock is held.
-func (k *checker) fail(format string, args ...any) {
-	k.broken = append(k.broken, time.Now().Format("15:04:05.000 ")+fmt.Sprintf(format, args...))
+// recordViolation records a violated guarantee. The caller must hold k.mu.
+func (k *checker) recordViolation(format string, args ...any) {
+	k.violations = append(k.violations, time.Now().Format("15:04:05.000 ")+fmt.Sprintf(format, args...))
 }
 
-// Unwell notes a process that ended by itself.
-func (k *checker) Unwell(what string) {
+// Unwell records a failure of the fleet or of the test setup, such as a process that
+// exited unexpectedly.
+func (k *checker) Unwell(failure string) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	k.fail("%s", what)
+	k.recordViolation("%s", failure)
 }
 
-// Calm tells that the last fault is over, or that one begins.
+// Calm records that all faults have ended (true) or that a fault phase begins (false).
 func (k *checker) Calm(calm bool) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	k.calmFrom = time.Time{}
+	k.calmSince = time.Time{}
 	if calm {
-		k.calmFrom = time.Now()
+		k.calmSince = time.Now()
 	}
 }
 
-// calmAt tells whether the fleet had been calm for a while at t and still is.
-func (k *checker) calmAt(t time.Time) bool { return !k.calmFrom.IsZero() && t.Sub(k.calmFrom) > settle }
+// calmAt reports whether the fleet had been free of faults for more than settleTime at t
+// and still is. The caller must hold k.mu.
+func (k *checker) calmAt(t time.Time) bool {
+	return !k.calmSince.IsZero() && t.Sub(k.calmSince) > settleTime
+}
 
-// Sent notes a call that is about to be made.
-func (k *checker) Sent(id api.RequestID, what traffic) {
+// Sent records a call that is about to be made.
+func (k *checker) Sent(id api.RequestID, kind requestKind) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	now := time.Now()
-	k.calls[id] = &call{what: what, sent: now}
+	k.calls[id] = &call{kind: kind, sent: now}
 	k.sent = append(k.sent, now)
 }
 
-// Ran takes a target's word that it runs a request.
+// Ran records a target's report that it runs a request, and checks it against the guarantees.
 func (k *checker) Ran(r standin.Run) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	c := k.calls[r.Request]
 	if c == nil {
-		k.fail("%s ran %q, which nobody sent", r.Target, r.Request)
+		k.recordViolation("%s ran %q, which nobody sent", r.Target, r.Request)
 		return
 	}
 	c.runs = append(c.runs, r)
@@ -117,53 +127,53 @@
 	if len(c.runs) > 1 {
 		k.retries[r.Service] = append(k.retries[r.Service], r.Began)
 	}
-	if len(c.runs) > 1 && c.what.once {
-		k.fail("%s of %s ran at %s and at %s", r.Request, c.what.path, c.runs[0].Target, r.Target)
+	if len(c.runs) > 1 && c.kind.atMostOnce {
+		k.recordViolation("%s of %s ran at %s and at %s", r.Request, c.kind.path, c.runs[0].Target, r.Target)
 	}
 	if c.refused {
-		k.fail("%s was refused as not run and ran at %s", r.Request, r.Target)
+		k.recordViolation("%s was refused as not run and ran at %s", r.Request, r.Target)
 	}
 	if at, ok := k.drained[r.Target]; ok && k.calmAt(c.sent) && c.sent.Sub(at) > drainBound {
-		k.fail("%s was sent to %s %v after it said that it leaves", r.Request, r.Target, c.sent.Sub(at))
+		k.recordViolation("%s was sent to %s %v after it said that it leaves", r.Request, r.Target, c.sent.Sub(at))
 	}
 	if at, ok := k.evacuated[r.Zone]; ok && k.calmAt(c.sent) && c.sent.Sub(at) > evacuationBound {
-		k.fail("%s was sent to %s in %s %v after its evacuation was confirmed", r.Request, r.Target, r.Zone, c.sent.Sub(at))
+		k.recordViolation("%s was sent to %s in %s %v after its evacuation was confirmed", r.Request, r.Target, r.Zone, c.sent.Sub(at))
 	}
 	k.checkVersion(c, r)
 }
 
-// Evacuated notes that the evacuation of a zone was confirmed, TakenBack that its end is about
-// to be ordered.
+// Evacuated records that the evacuation of a zone was confirmed.
 func (k *checker) Evacuated(zone api.Zone, at time.Time) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	k.evacuated[zone] = at
 }
 
-// TakenBack ends what Evacuated began.
+// TakenBack records that the end of a zone's evacuation is about to be requested.
 func (k *checker) TakenBack(zone api.Zone) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	delete(k.evacuated, zone)
 }
 
-// checkVersion holds a run of the changing route against the versions that may be in
-// force. The lock is held.
+// checkVersion checks that a run of the changing route went to a service named by one of
+// the configuration versions that may be applied at that time. The caller must hold k.mu.
 func (k *checker) checkVersion(c *call, r standin.Run) {
-	if !c.what.changing || !k.calmAt(c.sent) {
+	if !c.kind.changing || !k.calmAt(c.sent) {
 		return
 	}
-	least := k.newestBefore(c.sent.Add(-inForce))
-	for v, service := range k.services {
-		if v >= least && service == r.Service {
+	minVersion := k.latestAckedBefore(c.sent.Add(-propagationBound))
+	for v, service := range k.serviceByVersion {
+		if v >= minVersion && service == r.Service {
 			return
 		}
 	}
-	k.fail("%s was run by %s, though version %d was accepted %v before", r.Request, r.Service, least, inForce)
+	k.recordViolation("%s was run by %s, though version %d was accepted %v before", r.Request, r.Service, minVersion, propagationBound)
 }
 
-// newestBefore is the highest version acknowledged before t. The lock is held.
-func (k *checker) newestBefore(t time.Time) uint64 {
+// latestAckedBefore returns the highest version acknowledged before t, or 0 if there is
+// none. The caller must hold k.mu.
+func (k *checker) latestAckedBefore(t time.Time) uint64 {
 	var v uint64
 	for _, a := range k.acked {
 		if a.at.Before(t) {
@@ -173,113 +183,116 @@
 	return v
 }
 
-// Answered takes what a caller got.
+// Answered records the response that a caller received and checks it against the guarantees.
 func (k *checker) Answered(id api.RequestID, a standin.Answer) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	c := k.calls[id]
-	if k.calmAt(c.sent) && !k.limited(c) {
-		k.calm++
+	if k.calmAt(c.sent) && !k.rateLimited(c) {
+		k.calmCalls++
 		if a.Status == 200 && a.Whole {
-			k.served++
+			k.servedCalls++
 		}
 	}
 	switch {
 	case a.NotRun():
 		c.refused = true
 		if len(c.runs) > 0 {
-			k.fail("%s got %d, but ran at %s", id, a.Status, c.runs[0].Target)
+			k.recordViolation("%s got %d, but ran at %s", id, a.Status, c.runs[0].Target)
 		}
 	case a.Status != 200:
-	case c.what.events > 0:
+	case c.kind.events > 0:
 		k.checkEvents(id, c, a)
 	case a.Whole && (a.Request != id || !a.Sealed || !ranAt(c, a.Target)):
-		k.fail("%s got an answer to %q by %q, sealed: %v", id, a.Request, a.Target, a.Sealed)
+		k.recordViolation("%s got an answer to %q by %q, sealed: %v", id, a.Request, a.Target, a.Sealed)
 	}
 }
 
-// limited tells whether a call's service had targets that named a limit. The lock is held.
-func (k *checker) limited(c *call) bool {
-	return slices.ContainsFunc(c.what.services, func(s api.ServiceID) bool { return k.limits.binds(s, c.sent) })
+// rateLimited reports whether a service that may serve the call had a target with an
+// announced rate limit when the call was sent or shortly before. The caller must hold k.mu.
+func (k *checker) rateLimited(c *call) bool {
+	return slices.ContainsFunc(c.kind.services, func(s api.ServiceID) bool { return k.limits.limitedAt(s, c.sent) })
 }
 
 func ranAt(c *call, t api.TargetID) bool {
 	return slices.ContainsFunc(c.runs, func(r standin.Run) bool { return r.Target == t })
 }
 
-// checkEvents: every event once, in order, of this request and of one run, unless the
-// route lets runs go on elsewhere. The lock is held.
+// checkEvents checks that the events of a stream arrived once each, in order, and belong to
+// this request. If the request must run at most once, all events must come from the same
+// run; a resumable stream may continue on another target. The caller must hold k.mu.
 func (k *checker) checkEvents(id api.RequestID, c *call, a standin.Answer) {
 	for i, e := range a.Events {
 		switch {
 		case e.Number != i+1:
-			k.fail("%s: event %d came as number %d", id, i+1, e.Number)
+			k.recordViolation("%s: event %d came as number %d", id, i+1, e.Number)
 			return
 		case e.Request != id || !ranAt(c, e.Target):
-			k.fail("%s: event %d is of %q by %q", id, i+1, e.Request, e.Target)
+			k.recordViolation("%s: event %d is of %q by %q", id, i+1, e.Request, e.Target)
 			return
-		case c.what.once && e.Target != a.Events[0].Target:
-			k.fail("%s: event %d is of another run", id, i+1)
+		case c.kind.atMostOnce && e.Target != a.Events[0].Target:
+			k.recordViolation("%s: event %d is of another run", id, i+1)
 			return
 		}
 	}
-	if a.Whole && len(a.Events) != c.what.events {
-		k.fail("%s looks whole with %d of %d events", id, len(a.Events), c.what.events)
+	if a.Whole && len(a.Events) != c.kind.events {
+		k.recordViolation("%s looks whole with %d of %d events", id, len(a.Events), c.kind.events)
 	}
 }
 
-// Drained notes that a target's leaving was acknowledged.
+// Drained records that a control member acknowledged a target's drain notice.
 func (k *checker) Drained(t api.TargetID, at time.Time) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	k.drained[t] = at
 }
 
-// Proposed notes a version before it is sent, Accepted its acknowledgement.
+// Proposed records a configuration version before it is sent, with the service that its
+// changing route names.
 func (k *checker) Proposed(version uint64, changing api.ServiceID) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	k.services[version] = changing
+	k.serviceByVersion[version] = changing
 }
 
-// Accepted notes an acknowledgement.
+// Accepted records the acknowledgement of a configuration version.
 func (k *checker) Accepted(version uint64) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	k.acked = append(k.acked, ack{version, time.Now()})
 }
 
-// Read takes a version that a member gave to a question sent at a time. No fault
-// excuses an old one.
+// Read checks the configuration version that a control member returned for a read sent at
+// the given time. A stale version is a violation even during faults.
 func (k *checker) Read(member string, version uint64, sent time.Time) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	if least := k.newestBefore(sent.Add(-inForce)); version < least {
-		k.fail("%s gave version %d, %d was accepted %v before", member, version, least, inForce)
+	if minVersion := k.latestAckedBefore(sent.Add(-propagationBound)); version < minVersion {
+		k.recordViolation("%s gave version %d, %d was accepted %v before", member, version, minVersion, propagationBound)
 	}
 }
 
-// checkRetries holds the retries of each window against the budget, whatever the faults.
-// All calls count as requests for each service, which is more than the budget counts. The
-// lock is held.
+// checkRetries checks the retries in every window against the retry budget, also during
+// faults. All calls count as requests for each service, so the bound is looser than the
+// budget itself. The caller must hold k.mu.
 func (k *checker) checkRetries() {
 	for service, list := range k.retries {
 		slices.SortFunc(list, time.Time.Compare)
 		for _, last := range list {
 			end := last.Add(time.Nanosecond)
 			from := end.Add(-retryWindow)
-			most := max(within(k.sent, from, end), within(k.sent, from.Add(-retryWindow), from), within(k.sent, from.Add(-retryWindow/2), end.Add(-retryWindow/2)))
-			got, bound := within(list, from, end), retryRatio*float64(most)+retrySlack
+			maxRequests := max(countBetween(k.sent, from, end), countBetween(k.sent, from.Add(-retryWindow), from), countBetween(k.sent, from.Add(-retryWindow/2), end.Add(-retryWindow/2)))
+			got, bound := countBetween(list, from, end), retryRatio*float64(maxRequests)+retrySlack
 			if float64(got) > bound {
-				k.fail("%s got %d retries in a window, of %.1f", service, got, bound)
+				k.recordViolation("%s got %d retries in a window, of %.1f", service, got, bound)
 				return
 			}
 		}
 	}
 }
 
-// within counts the times in a span.
-func within(list []time.Time, from, to time.Time) int {
+// countBetween returns the number of times in list that lie in [from, to).
+func countBetween(list []time.Time, from, to time.Time) int {
 	n := 0
 	for _, at := range list {
 		if !at.Before(from) && at.Before(to) {
@@ -289,15 +302,15 @@
 	return n
 }
 
-// verdict tells what was seen and broken.
-func (k *checker) verdict() (string, []string) {
+// evaluate runs the checks that need the whole run and returns a summary and all violations.
+func (k *checker) evaluate() (string, []string) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	k.checkRetries()
 	k.checkLimits()
-	broken := slices.Clone(k.broken)
-	if k.calm > 0 && float64(k.served) < servedAtLeast*float64(k.calm) {
-		broken = append(broken, fmt.Sprintf("a calm fleet served %d of %d calls", k.served, k.calm))
+	violations := slices.Clone(k.violations)
+	if k.calmCalls > 0 && float64(k.servedCalls) < minSuccessRatio*float64(k.calmCalls) {
+		violations = append(violations, fmt.Sprintf("a calm fleet served %d of %d calls", k.servedCalls, k.calmCalls))
 	}
-	return fmt.Sprintf("%d calls, %d of %d served while calm, %d configurations accepted", len(k.calls), k.served, k.calm, len(k.acked)), broken
+	return fmt.Sprintf("%d calls, %d of %d served while calm, %d configurations accepted", len(k.calls), k.servedCalls, k.calmCalls, len(k.acked)), violations
 }
--- a/bench/soak/doc.go
+++ b/bench/soak/doc.go
@@ -1,11 +1,12 @@
-// Soak runs the real programs as separate processes on loopback, brings about faults
-// from outside them, and checks while they run what callers, targets and operators
-// were promised. Everything follows from a seed but the timing of the machine.
+// Soak runs the real program as separate processes on loopback addresses, injects faults
+// from outside the processes, and checks the system's guarantees to callers, targets and
+// operators during the run. All random choices are drawn from generators seeded with the
+// run's seed; the timing of the machine still differs from run to run.
 //
-// Each process has a loopback address of its own. What others dial is a forwarder,
-// which delays, resets, silences or cuts what goes through it; behind it listens the
-// process. Faults of processes are signals; a control member may also lose its
-// disk. Clocks are left alone: the machine has but one.
+// Each process listens on a loopback address of its own and is dialed through a TCP
+// forwarder on another address. The forwarder can delay, drop or reset the traffic.
+// Process faults are signals; a control member may also lose its data directory. Clock
+// faults are not injected, since all processes share the clock of one machine.
 //
 //	go build -o bin/ ./cmd/almondseam
 //	go run ./bench/soak --binary bin/almondseam --seed 1 --seeds 50
--- a/bench/soak/evacuate.go
+++ b/bench/soak/evacuate.go
@@ -8,49 +8,50 @@
 	"almondseam.dev/platform/standin"
 )
 
-// The availability zones of targets. Of each service one target is in otherZone, which
-// operators evacuate and take back.
+// The availability zones of targets. Each service has its first target in ownZone and the
+// rest in otherZone, which operators evacuate and later return to service.
 const (
 	ownZone   = "z"
 	otherZone = "y"
 )
 
 const (
-	// evacuatedFor is how long an evacuation lasts once it is confirmed, evacuateEvery the
-	// mean pause before the next.
-	evacuatedFor  = 7 * time.Second
-	evacuateEvery = 2 * time.Second
-	// orderAgain is the pause before an order without a clear answer is sent again.
-	orderAgain = 100 * time.Millisecond
+	// evacuationDuration is how long an evacuation lasts once it is confirmed.
+	// meanEvacuationPause is the mean pause before the next evacuation.
+	evacuationDuration  = 7 * time.Second
+	meanEvacuationPause = 2 * time.Second
+	// orderRetryPause is the pause before a request that failed with an error is sent again.
+	orderRetryPause = 100 * time.Millisecond
 )
 
-// evacuate empties a zone and takes it back, again and again, at any member, whatever the
-// faults.
+// evacuate starts and ends the evacuation of otherZone in turn until ctx ends. It sends each
+// request to a random control member and continues during faults.
 func (o *operators) evacuate(ctx context.Context, rng *rand.Rand) {
 	op := standin.NewOperator()
 	for ctx.Err() == nil {
-		pause(ctx, time.Duration(rng.ExpFloat64()*float64(evacuateEvery)))
-		if !o.order(ctx, op, rng, false) {
+		sleep(ctx, time.Duration(rng.ExpFloat64()*float64(meanEvacuationPause)))
+		if !o.sendEvacuation(ctx, op, rng, false) {
 			return
 		}
 		o.check.Evacuated(otherZone, time.Now())
-		pause(ctx, evacuatedFor)
+		sleep(ctx, evacuationDuration)
 		o.check.TakenBack(otherZone)
-		if !o.order(ctx, op, rng, true) {
+		if !o.sendEvacuation(ctx, op, rng, true) {
 			return
 		}
 	}
 }
 
-// order sends an order until it is acknowledged; false if ctx ends first.
-func (o *operators) order(ctx context.Context, op *standin.Operator, rng *rand.Rand, finish bool) bool {
+// sendEvacuation sends the start or, if finish is set, the end of the evacuation of otherZone
+// until it is acknowledged. It returns false if ctx ends first.
+func (o *operators) sendEvacuation(ctx context.Context, op *standin.Operator, rng *rand.Rand, finish bool) bool {
 	for ctx.Err() == nil {
 		ok, err := op.Evacuate(ctx, o.members[rng.IntN(len(o.members))], otherZone, finish)
 		if ok {
 			return true
 		}
 		if err != nil {
-			pause(ctx, orderAgain)
+			sleep(ctx, orderRetryPause)
 		}
 	}
 	return false
--- a/bench/soak/faults.go
+++ b/bench/soak/faults.go
@@ -12,119 +12,122 @@
 	"github.com/sourcegraph/conc"
 )
 
-// injector brings about faults, several of which overlap.
+// injector injects faults into the fleet. Several faults may overlap.
 type injector struct {
-	fleet  *fleet
-	places []*place
-	check  *checker
-	rng    *rand.Rand
-	log    io.Writer
-	begun  time.Time
+	fleet   *fleet
+	slots   []*targetSlot
+	check   *checker
+	rng     *rand.Rand
+	log     io.Writer
+	started time.Time
 
 	logMu sync.Mutex
 	work  conc.WaitGroup
-	// wiped is when a disk was last lost: no second one is until the first member
-	// has caught up.
-	wiped time.Time
+	// lastWipe is when a data directory was last deleted. The next one is deleted only after
+	// catchUpTime, so that the first member can catch up.
+	lastWipe time.Time
 }
 
 const (
-	// faultEvery is the mean time between two faults.
-	faultEvery = 500 * time.Millisecond
-	// faultLeast and faultMost bound how long one lasts.
-	faultLeast = 200 * time.Millisecond
-	faultMost  = 3 * time.Second
-	// catchUp is how long after a loss a disk counts as lost.
-	catchUp = 10 * time.Second
-	// drainFor is how long a target serves on after it has said that it leaves.
-	drainFor = 2500 * time.Millisecond
-	// delayMost bounds the delay of each piece that a forwarder passes on.
-	delayMost = 250 * time.Millisecond
+	// meanFaultInterval is the mean time between the starts of two faults.
+	meanFaultInterval = 500 * time.Millisecond
+	// minFaultDuration and maxFaultDuration bound the duration of a fault.
+	minFaultDuration = 200 * time.Millisecond
+	maxFaultDuration = 3 * time.Second
+	// catchUpTime is the time that a control member is given to catch up after its data
+	// directory was deleted.
+	catchUpTime = 10 * time.Second
+	// drainDuration is how long a target continues to serve after its drain notice was
+	// acknowledged or failed; it is also the timeout of the notice.
+	drainDuration = 2500 * time.Millisecond
+	// maxDelay bounds the delay that a forwarder adds to each chunk of data.
+	maxDelay = 250 * time.Millisecond
 )
 
-// storm brings about faults for a while and waits until all are over.
-func (j *injector) storm(ctx context.Context, d time.Duration) {
+// faultPhase starts faults for the duration d and returns when all of them have ended.
+func (j *injector) faultPhase(ctx context.Context, d time.Duration) {
 	j.check.Calm(false)
 	end := time.Now().Add(d)
 	for ctx.Err() == nil && time.Now().Before(end) {
-		j.one(ctx)
-		pause(ctx, time.Duration(j.rng.ExpFloat64()*float64(faultEvery)))
+		j.startFault(ctx)
+		sleep(ctx, time.Duration(j.rng.ExpFloat64()*float64(meanFaultInterval)))
 	}
 	j.work.Wait()
 	j.check.Calm(true)
 }
 
-func (j *injector) note(format string, args ...any) {
+func (j *injector) logf(format string, args ...any) {
 	j.logMu.Lock()
 	defer j.logMu.Unlock()
-	fmt.Fprintf(j.log, "%8.3f %s\n", time.Since(j.begun).Seconds(), fmt.Sprintf(format, args...))
+	fmt.Fprintf(j.log, "%8.3f %s\n", time.Since(j.started).Seconds(), fmt.Sprintf(format, args...))
 }
 
-// one begins one fault. All that is drawn is drawn here, so that the series follows
-// from the seed.
-func (j *injector) one(ctx context.Context) {
-	lasts := faultLeast + time.Duration(j.rng.Int64N(int64(faultMost-faultLeast)))
+// startFault starts one random fault. It makes all random draws itself, none in the
+// goroutines that it starts, so that their timing does not change the sequence of faults.
+func (j *injector) startFault(ctx context.Context) {
+	duration := minFaultDuration + time.Duration(j.rng.Int64N(int64(maxFaultDuration-minFaultDuration)))
 	control := j.fleet.control[j.rng.IntN(len(j.fleet.control))]
 	entry := j.fleet.entries[j.rng.IntN(len(j.fleet.entries))]
-	target := j.places[j.rng.IntN(len(j.places))]
-	delay := time.Duration(j.rng.Int64N(int64(delayMost)))
+	target := j.slots[j.rng.IntN(len(j.slots))]
+	delay := time.Duration(j.rng.Int64N(int64(maxDelay)))
 	process := []*node{control, control, entry}[j.rng.IntN(3)]
 	switch kind := j.rng.IntN(12); kind {
 	case 0, 1:
-		m := []mode{modeDelay, modeSilent, modeOneWay}[j.rng.IntN(3)]
-		j.disturb(ctx, "links of "+control.name, control.links, m, delay, lasts)
+		m := []mode{modeDelay, modeBlackhole, modeOneWay}[j.rng.IntN(3)]
+		j.impairLink(ctx, "links of "+control.name, control.linkForwarder, m, delay, duration)
 	case 2:
-		j.disturb(ctx, "operators' calls to "+control.name, control.front, modeOneWay, delay, lasts)
+		j.impairLink(ctx, "operators' calls to "+control.name, control.clientForwarder, modeOneWay, delay, duration)
 	case 3:
-		j.disturb(ctx, "callers of "+entry.name, entry.front, modeDelay, delay, lasts)
+		j.impairLink(ctx, "callers of "+entry.name, entry.clientForwarder, modeDelay, delay, duration)
 	case 4:
-		j.check.Excuse(target.current(), lasts)
-		j.disturb(ctx, "requests to "+target.known, target.forward, []mode{modeDelay, modeSilent}[j.rng.IntN(2)], delay, lasts)
+		j.check.Excuse(target.current(), duration)
+		j.impairLink(ctx, "requests to "+target.advertised, target.forward, []mode{modeDelay, modeBlackhole}[j.rng.IntN(2)], delay, duration)
 	case 5:
-		j.note("reset of the connections of %s, %s and %s", control.name, entry.name, target.known)
-		control.links.reset()
-		entry.front.reset()
+		j.logf("reset of the connections of %s, %s and %s", control.name, entry.name, target.advertised)
+		control.linkForwarder.reset()
+		entry.clientForwarder.reset()
 		target.forward.reset()
 	case 6, 7:
-		j.freeze(ctx, process, lasts)
+		j.suspend(ctx, process, duration)
 	case 8:
-		j.end(process, syscall.SIGKILL, false)
+		j.restartNode(process, syscall.SIGKILL, false)
 	case 9:
-		j.end(process, syscall.SIGTERM, false)
+		j.restartNode(process, syscall.SIGTERM, false)
 	case 10:
-		if time.Since(j.wiped) > catchUp {
-			j.wiped = time.Now()
-			j.end(control, syscall.SIGKILL, true)
+		if time.Since(j.lastWipe) > catchUpTime {
+			j.lastWipe = time.Now()
+			j.restartNode(control, syscall.SIGKILL, true)
 		}
 	default:
 		j.replaceTarget(ctx, target, j.rng.IntN(2) == 0)
 	}
 }
 
-func (j *injector) disturb(ctx context.Context, what string, f *forwarder, m mode, delay, lasts time.Duration) {
-	j.note("%s: mode %d for %v, delay %v", what, m, lasts, delay)
+func (j *injector) impairLink(ctx context.Context, name string, f *forwarder, m mode, delay, duration time.Duration) {
+	j.logf("%s: mode %d for %v, delay %v", name, m, duration, delay)
 	f.set(m, delay)
 	j.work.Go(func() {
-		pause(ctx, lasts)
+		sleep(ctx, duration)
 		f.set(modePass, 0)
 	})
 }
 
-func (j *injector) freeze(ctx context.Context, n *node, lasts time.Duration) {
-	j.note("%s stands still for %v", n.name, lasts)
+func (j *injector) suspend(ctx context.Context, n *node, duration time.Duration) {
+	j.logf("%s stands still for %v", n.name, duration)
 	n.signal(syscall.SIGSTOP)
 	j.work.Go(func() {
-		pause(ctx, lasts)
+		sleep(ctx, duration)
 		n.signal(syscall.SIGCONT)
 	})
 }
 
-// end ends a process and starts it again; one that is being ended is left alone.
-func (j *injector) end(n *node, s syscall.Signal, wipe bool) {
+// restartNode stops a process and starts it again in the background. It does nothing if a
+// restart of the process is already in progress.
+func (j *injector) restartNode(n *node, s syscall.Signal, wipe bool) {
 	if !n.busy.TryLock() {
 		return
 	}
-	j.note("%s gets %v, disk lost: %v", n.name, s, wipe)
+	j.logf("%s gets %v, disk lost: %v", n.name, s, wipe)
 	j.work.Go(func() {
 		defer n.busy.Unlock()
 		if err := n.restart(s, wipe); err != nil {
@@ -133,16 +136,16 @@
 	})
 }
 
-func (j *injector) replaceTarget(ctx context.Context, p *place, drains bool) {
+func (j *injector) replaceTarget(ctx context.Context, p *targetSlot, drains bool) {
 	if !p.busy.TryLock() {
 		return
 	}
-	j.note("%s is replaced, says so: %v", p.known, drains)
+	j.logf("%s is replaced, says so: %v", p.advertised, drains)
 	j.work.Go(func() {
 		defer p.busy.Unlock()
 		drain := time.Duration(0)
 		if drains {
-			drain = drainFor
+			drain = drainDuration
 		}
 		if err := p.replace(ctx, drain, j.check.Drained); err != nil {
 			j.check.Unwell(err.Error())
--- a/bench/soak/fleet.go
+++ b/bench/soak/fleet.go
@@ -17,7 +17,7 @@
 	"almondseam.dev/platform/standin"
 )
 
-// Ports, the same on all machines.
+// Ports, the same on all loopback addresses.
 const (
 	portLinks     = 7200
 	portCallers   = 8740
@@ -28,26 +28,27 @@
 
 const (
 	fleetKey = "a key for soak runs alone"
-	// grace is the time between the order to stop and the end by force.
-	grace = 8 * time.Second
-	// announceEvery is how often targets announce themselves.
-	announceEvery = 400 * time.Millisecond
-	// restartAfter is how soon a process that has ended is started again.
-	restartAfter = 300 * time.Millisecond
+	// gracePeriod is the time between the signal to stop and SIGKILL. It is also the shutdown
+	// grace period in the settings of the processes.
+	gracePeriod = 8 * time.Second
+	// announceInterval is the interval at which targets announce themselves.
+	announceInterval = 400 * time.Millisecond
+	// restartDelay is the time between the exit of a process and its next start.
+	restartDelay = 300 * time.Millisecond
 )
 
-// addresses of one run: process and target number i of a group listen at one
-// loopback address and are known by another.
+// addresses derives the loopback addresses of one run. Each process or target, numbered
+// within its group, listens on one address and is dialed at another, its advertised one.
 type addresses struct{ net byte }
 
-func (a addresses) known(group, i int) string {
+func (a addresses) advertised(group, i int) string {
 	return fmt.Sprintf("127.%d.%d.%d", a.net, group, 2*i+1)
 }
 func (a addresses) listen(group, i int) string {
 	return fmt.Sprintf("127.%d.%d.%d", a.net, group, 2*i+2)
 }
 
-func at(host string, port int) string { return net.JoinHostPort(host, strconv.Itoa(port)) }
+func hostPort(host string, port int) string { return net.JoinHostPort(host, strconv.Itoa(port)) }
 
 // The groups of addresses.
 const (
@@ -56,60 +57,60 @@
 	groupTarget  = 3
 )
 
-// node is one process of the system with the forwarders before it.
+// node is one process of the system together with the forwarders in front of it.
 type node struct {
-	name     string
-	role     string
-	set      standin.Process
-	args     []string
-	dir      string
-	binary   string
-	links    *forwarder // control only
-	front    *forwarder // what callers, or targets and operators, dial
-	onUnwell func(string)
+	name            string
+	role            string
+	config          standin.Process
+	args            []string
+	dir             string
+	binary          string
+	linkForwarder   *forwarder // dialed by other members and entries; nil for an entry
+	clientForwarder *forwarder // dialed by callers (entry) or by targets and operators (control member)
+	onFailure       func(string)
 
-	mu     sync.Mutex
-	cmd    *exec.Cmd
-	ended  chan struct{}
-	wanted bool // an end is brought about from outside
-	// busy is held while the process is ended and started again.
+	mu           sync.Mutex
+	cmd          *exec.Cmd
+	exited       chan struct{}
+	expectedExit bool // a signal that ends the process was sent
+	// busy is held while the process is being restarted.
 	busy sync.Mutex
 }
 
-// fleet is the system under test.
+// fleet holds the control members and entries of the system under test.
 type fleet struct {
 	addresses addresses
 	control   []*node
 	entries   []*node
 }
 
-func startFleet(dir, binary string, a addresses, controls, entries int, onUnwell func(string)) (*fleet, error) {
+func startFleet(dir, binary string, a addresses, controls, entries int, onFailure func(string)) (*fleet, error) {
 	f := &fleet{addresses: a}
 	var seeds []string
 	for i := range controls {
-		seeds = append(seeds, at(a.known(groupControl, i), portOperators))
+		seeds = append(seeds, hostPort(a.advertised(groupControl, i), portOperators))
 	}
 	for i := range controls {
 		n := &node{name: fmt.Sprintf("control-%d", i), role: "control", args: []string{"--links-listen", a.listen(groupControl, i)}}
-		n.set = standin.Process{
-			Host: a.known(groupControl, i), Founding: true, Operators: at(a.listen(groupControl, i), portOperators),
+		n.config = standin.Process{
+			Host: a.advertised(groupControl, i), Founding: true, Operators: hostPort(a.listen(groupControl, i), portOperators),
 			DataDir: filepath.Join(dir, n.name+".data"),
 		}
 		f.control = append(f.control, n)
 	}
 	for i := range entries {
 		n := &node{name: fmt.Sprintf("entry-%d", i), role: "entry"}
-		n.set = standin.Process{
-			Host: a.known(groupEntry, i), Callers: at(a.listen(groupEntry, i), portCallers), Ready: at(a.listen(groupEntry, i), portReady),
+		n.config = standin.Process{
+			Host: a.advertised(groupEntry, i), Callers: hostPort(a.listen(groupEntry, i), portCallers), Ready: hostPort(a.listen(groupEntry, i), portReady),
 		}
 		f.entries = append(f.entries, n)
 	}
 	for _, n := range f.nodes() {
-		n.dir, n.binary, n.onUnwell = dir, binary, onUnwell
-		n.set.Name, n.set.Zone, n.set.Seeds, n.set.LinkPort = n.name, ownZone, seeds, portLinks
-		n.set.Grace, n.set.Every = grace, announceEvery
-		n.set.RetryRatio, n.set.RetrySlack, n.set.RetryWindow = retryRatio, retrySlack, retryWindow
-		if err := n.forward(); err != nil {
+		n.dir, n.binary, n.onFailure = dir, binary, onFailure
+		n.config.Name, n.config.Zone, n.config.Seeds, n.config.LinkPort = n.name, ownZone, seeds, portLinks
+		n.config.Grace, n.config.Every = gracePeriod, announceInterval
+		n.config.RetryRatio, n.config.RetrySlack, n.config.RetryWindow = retryRatio, retrySlack, retryWindow
+		if err := n.startForwarders(); err != nil {
 			return f, err
 		}
 		if err := n.start(); err != nil {
@@ -124,7 +125,7 @@
 func (f *fleet) operators() []string {
 	var out []string
 	for _, n := range f.control {
-		out = append(out, at(n.set.Host, portOperators))
+		out = append(out, hostPort(n.config.Host, portOperators))
 	}
 	return out
 }
@@ -132,35 +133,35 @@
 func (f *fleet) stop() {
 	for _, n := range f.nodes() {
 		n.kill()
-		for _, fw := range []*forwarder{n.front, n.links} {
-			if fw != nil { // a fleet that could not be started whole
+		for _, fw := range []*forwarder{n.clientForwarder, n.linkForwarder} {
+			if fw != nil { // nil for links of an entry, or if the fleet failed to start
 				fw.close()
 			}
 		}
 	}
 }
 
-func (n *node) forward() (err error) {
+func (n *node) startForwarders() (err error) {
 	if n.role == "control" {
 		host := n.args[1]
-		if n.links, err = newForwarder(at(n.set.Host, portLinks), at(host, portLinks)); err != nil {
+		if n.linkForwarder, err = newForwarder(hostPort(n.config.Host, portLinks), hostPort(host, portLinks)); err != nil {
 			return err
 		}
-		n.front, err = newForwarder(at(n.set.Host, portOperators), n.set.Operators)
+		n.clientForwarder, err = newForwarder(hostPort(n.config.Host, portOperators), n.config.Operators)
 		return err
 	}
-	n.front, err = newForwarder(at(n.set.Host, portCallers), n.set.Callers)
+	n.clientForwarder, err = newForwarder(hostPort(n.config.Host, portCallers), n.config.Callers)
 	return err
 }
 
-// start runs the process; the caller sees to it that it does not run.
+// start starts the process. The caller must ensure that it is not running already.
 func (n *node) start() error {
-	if n.set.DataDir != "" {
-		if err := os.MkdirAll(n.set.DataDir, 0o755); err != nil {
+	if n.config.DataDir != "" {
+		if err := os.MkdirAll(n.config.DataDir, 0o755); err != nil {
 			return err
 		}
 	}
-	file, err := n.set.File()
+	file, err := n.config.File()
 	if err != nil {
 		return err
 	}
@@ -172,7 +173,7 @@
 	if err != nil {
 		return err
 	}
-	defer log.Close() // the process has its own copy
+	defer log.Close() // the child process has its own descriptor
 	cmd := exec.Command(n.binary, append([]string{"routed", n.role, "--fleet-key", fleetKey}, n.args...)...)
 	cmd.Env = append(os.Environ(), platform.SettingsVariable+"="+path)
 	cmd.Stdout, cmd.Stderr = log, log
@@ -180,22 +181,22 @@
 		return err
 	}
 	n.mu.Lock()
-	n.cmd, n.ended, n.wanted = cmd, make(chan struct{}), false
-	ended := n.ended
+	n.cmd, n.exited, n.expectedExit = cmd, make(chan struct{}), false
+	exited := n.exited
 	n.mu.Unlock()
-	go n.watch(cmd, ended)
+	go n.watch(cmd, exited)
 	return nil
 }
 
-// watch notices a process that ends by itself.
-func (n *node) watch(cmd *exec.Cmd, ended chan struct{}) {
+// watch waits for the process to exit and reports an unexpected exit to onFailure.
+func (n *node) watch(cmd *exec.Cmd, exited chan struct{}) {
 	err := cmd.Wait()
 	n.mu.Lock()
-	wanted := n.wanted
+	expectedExit := n.expectedExit
 	n.mu.Unlock()
-	close(ended)
-	if !wanted {
-		n.onUnwell(fmt.Sprintf("%s ended by itself: %v", n.name, err))
+	close(exited)
+	if !expectedExit {
+		n.onFailure(fmt.Sprintf("%s ended by itself: %v", n.name, err))
 	}
 }
 
@@ -203,9 +204,9 @@
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	if s == syscall.SIGKILL || s == syscall.SIGTERM {
-		n.wanted = true
+		n.expectedExit = true
 	}
-	_ = n.cmd.Process.Signal(s) // a process that has ended needs none
+	_ = n.cmd.Process.Signal(s) // an error means that the process has already exited
 }
 
 func (n *node) kill() {
@@ -217,42 +218,43 @@
 	}
 	n.signal(syscall.SIGCONT)
 	n.signal(syscall.SIGKILL)
-	<-n.ended
+	<-n.exited
 }
 
-// restart ends the process, hard or by its orderly stop, and starts it again; with
-// wipe its disk is lost.
+// restart stops the process with the given signal, or with SIGKILL if it has not exited
+// after gracePeriod, and starts it again. If wipe is set, its data directory is deleted before
+// the start.
 func (n *node) restart(s syscall.Signal, wipe bool) error {
 	n.signal(syscall.SIGCONT)
 	n.signal(s)
 	select {
-	case <-n.ended:
-	case <-time.After(grace):
+	case <-n.exited:
+	case <-time.After(gracePeriod):
 		n.kill()
 	}
 	if wipe {
-		if err := os.RemoveAll(n.set.DataDir); err != nil {
+		if err := os.RemoveAll(n.config.DataDir); err != nil {
 			return err
 		}
 	}
-	n.set.Founding = false
-	time.Sleep(restartAfter)
+	n.config.Founding = false
+	time.Sleep(restartDelay)
 	return n.start()
 }
 
-// startTargets starts so many targets of each service.
-func startTargets(a addresses, f *fleet, services []api.ServiceID, each int, ran func(standin.Run)) ([]*place, error) {
-	var out []*place
+// startTargets starts perService targets of each service.
+func startTargets(a addresses, f *fleet, services []api.ServiceID, perService int, onRun func(standin.Run)) ([]*targetSlot, error) {
+	var out []*targetSlot
 	for _, s := range services {
-		for range each {
+		for range perService {
 			i := len(out)
-			p := &place{service: s, zone: ownZone, listen: at(a.listen(groupTarget, i), portTarget), known: at(a.known(groupTarget, i), portTarget), control: f.operators(), ran: ran}
-			if len(out)%each > 0 {
+			p := &targetSlot{service: s, zone: ownZone, listen: hostPort(a.listen(groupTarget, i), portTarget), advertised: hostPort(a.advertised(groupTarget, i), portTarget), control: f.operators(), onRun: onRun}
+			if len(out)%perService > 0 {
 				p.zone = otherZone
 			}
 			out = append(out, p)
 			var err error
-			if p.forward, err = newForwarder(p.known, p.listen); err != nil {
+			if p.forward, err = newForwarder(p.advertised, p.listen); err != nil {
 				return out, err
 			}
 			if err := p.start(); err != nil {
@@ -263,68 +265,71 @@
 	return out, nil
 }
 
-// place is an address at which targets come and go.
-type place struct {
-	service api.ServiceID
-	zone    api.Zone
-	listen  string
-	known   string
-	control []string
-	ran     func(standin.Run)
-	forward *forwarder
+// targetSlot is an address at which successive targets run, one at a time.
+type targetSlot struct {
+	service    api.ServiceID
+	zone       api.Zone
+	listen     string
+	advertised string
+	control    []string
+	onRun      func(standin.Run)
+	forward    *forwarder
 
 	// busy is held while the target is replaced.
-	busy   sync.Mutex
-	mu     sync.Mutex
-	number int
-	target *standin.Target
+	busy       sync.Mutex
+	mu         sync.Mutex
+	generation int
+	target     *standin.Target
 }
 
-// targetWork is how long a plain request takes, and the pause between two events.
-const targetWork = 10 * time.Millisecond
+// targetWorkTime is how long a target takes for a plain request, and the pause between two
+// events of a stream.
+const targetWorkTime = 10 * time.Millisecond
 
-func (p *place) start() error {
+func (p *targetSlot) start() error {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.number++
+	p.generation++
 	t, err := standin.StartTarget(standin.TargetSettings{
-		ID: p.id(), Service: p.service, Zone: p.zone, Listen: p.listen, Announced: p.known, Control: p.control,
-		Every: announceEvery, Work: targetWork, Ran: p.ran,
+		ID: p.id(), Service: p.service, Zone: p.zone, Listen: p.listen, Announced: p.advertised, Control: p.control,
+		Every: announceInterval, Work: targetWorkTime, Ran: p.onRun,
 	})
 	p.target = t
 	return err
 }
 
-func (p *place) id() api.TargetID {
-	return api.TargetID(fmt.Sprintf("%s-%s-%d", p.service, p.known, p.number))
+func (p *targetSlot) id() api.TargetID {
+	return api.TargetID(fmt.Sprintf("%s-%s-%d", p.service, p.advertised, p.generation))
 }
 
-// current names the target that is there.
-func (p *place) current() api.TargetID {
+// current returns the ID of the target that was started last at this address.
+func (p *targetSlot) current() api.TargetID {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.id()
 }
 
-// replace ends the target, after a notice if drain is given, and starts another.
-func (p *place) replace(ctx context.Context, drain time.Duration, drained func(api.TargetID, time.Time)) error {
+// replace stops the target and starts another at the same address. If drain is positive,
+// the target first sends a drain notice and serves for that time; if the notice is
+// acknowledged, replace calls drained with the target and the time of the acknowledgement.
+func (p *targetSlot) replace(ctx context.Context, drain time.Duration, drained func(api.TargetID, time.Time)) error {
 	p.mu.Lock()
 	t, id := p.target, p.id()
 	p.mu.Unlock()
 	if drain > 0 {
-		within, cancel := context.WithTimeout(ctx, drain)
-		acked, err := t.Drain(within)
+		drainCtx, cancel := context.WithTimeout(ctx, drain)
+		acked, err := t.Drain(drainCtx)
 		cancel()
 		if err == nil {
 			drained(id, acked)
 		}
-		pause(ctx, drain)
+		sleep(ctx, drain)
 	}
 	t.Kill()
 	return p.start()
 }
 
-func (p *place) stop() {
+func (p *targetSlot) stop() {
 	p.mu.Lock()
 	t := p.target
 	p.mu.Unlock()
@@ -336,7 +341,7 @@
 	}
 }
 
-func pause(ctx context.Context, d time.Duration) {
+func sleep(ctx context.Context, d time.Duration) {
 	t := time.NewTimer(d)
 	defer t.Stop()
 	select {
--- a/bench/soak/forwarder.go
+++ b/bench/soak/forwarder.go
@@ -9,20 +9,21 @@
 	"github.com/sourcegraph/conc"
 )
 
-// mode is what a forwarder does with the bytes that go through it.
+// mode is what a forwarder does with the data that passes through it.
 type mode int32
 
 const (
 	modePass mode = iota
-	// modeDelay holds each piece up for a while.
+	// modeDelay delays each chunk of data.
 	modeDelay
-	// modeSilent swallows everything, both ways, and accepts nothing new.
-	modeSilent
-	// modeOneWay swallows only what comes from the listening process.
+	// modeBlackhole drops all data in both directions. New connections are accepted, but
+	// are not connected to the destination until the mode changes.
+	modeBlackhole
+	// modeOneWay drops only the data sent by the process behind the forwarder.
 	modeOneWay
 )
 
-// forwarder passes TCP connections on from one address to another.
+// forwarder forwards TCP connections from one address to another.
 type forwarder struct {
 	to    string
 	ln    net.Listener
@@ -30,9 +31,9 @@
 	delay atomic.Int64 // nanoseconds
 	work  conc.WaitGroup
 
-	mu    sync.Mutex
-	conns map[net.Conn]struct{}
-	over  bool
+	mu     sync.Mutex
+	conns  map[net.Conn]struct{}
+	closed bool
 }
 
 func newForwarder(from, to string) (*forwarder, error) {
@@ -50,13 +51,13 @@
 	f.mode.Store(int32(m))
 }
 
-// reset cuts all connections.
+// reset closes all connections with a TCP reset.
 func (f *forwarder) reset() {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	for c := range f.conns {
 		if tcp, ok := c.(*net.TCPConn); ok {
-			_ = tcp.SetLinger(0) // the peer sees a reset
+			_ = tcp.SetLinger(0) // makes Close send a TCP reset
 		}
 		c.Close()
 	}
@@ -64,7 +65,7 @@
 
 func (f *forwarder) close() {
 	f.mu.Lock()
-	f.over = true
+	f.closed = true
 	f.mu.Unlock()
 	f.ln.Close()
 	f.reset()
@@ -83,12 +84,12 @@
 
 func (f *forwarder) connect(in net.Conn) {
 	defer in.Close()
-	if !f.keep(in) {
+	if !f.track(in) {
 		return
 	}
-	defer f.forget(in)
-	for mode(f.mode.Load()) == modeSilent {
-		if !f.waitOrEnd() {
+	defer f.untrack(in)
+	for mode(f.mode.Load()) == modeBlackhole {
+		if !f.waitUnlessClosed() {
 			return
 		}
 	}
@@ -97,28 +98,30 @@
 		return
 	}
 	defer out.Close()
-	if !f.keep(out) {
+	if !f.track(out) {
 		return
 	}
-	defer f.forget(out)
+	defer f.untrack(out)
 	var both conc.WaitGroup
 	both.Go(func() { f.pipe(out, in, false) })
 	both.Go(func() { f.pipe(in, out, true) })
 	both.Wait()
 }
 
-// silentLook is how often a silenced connection looks whether the silence is over.
-const silentLook = 20 * time.Millisecond
+// blackholePollInterval is the interval at which a new connection that is held back in
+// modeBlackhole checks whether the mode has changed.
+const blackholePollInterval = 20 * time.Millisecond
 
-func (f *forwarder) waitOrEnd() bool {
-	time.Sleep(silentLook)
+func (f *forwarder) waitUnlessClosed() bool {
+	time.Sleep(blackholePollInterval)
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return !f.over
+	return !f.closed
 }
 
-// pipe passes one direction on. What a silence has swallowed is lost, so that the
-// connection stays silent for good.
+// pipe forwards one direction of a connection; answer is set for the data sent by the process
+// behind the forwarder. Once data has been dropped, all later data of this direction is
+// dropped too, since the receiver would otherwise see a stream with a gap.
 func (f *forwarder) pipe(to, from net.Conn, answer bool) {
 	defer to.Close()
 	defer from.Close()
@@ -128,7 +131,7 @@
 		n, err := from.Read(buf)
 		if n > 0 {
 			switch m := mode(f.mode.Load()); {
-			case lost, m == modeSilent, m == modeOneWay && answer:
+			case lost, m == modeBlackhole, m == modeOneWay && answer:
 				lost = true
 			case m == modeDelay:
 				time.Sleep(time.Duration(f.delay.Load()))
@@ -145,17 +148,17 @@
 	}
 }
 
-func (f *forwarder) keep(c net.Conn) bool {
+func (f *forwarder) track(c net.Conn) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	if f.over {
+	if f.closed {
 		return false
 	}
 	f.conns[c] = struct{}{}
 	return true
 }
 
-func (f *forwarder) forget(c net.Conn) {
+func (f *forwarder) untrack(c net.Conn) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	delete(f.conns, c)
--- a/bench/soak/forwarder_test.go
+++ b/bench/soak/forwarder_test.go
@@ -10,7 +10,7 @@
 	qt "github.com/frankban/quicktest"
 )
 
-// echo answers each line with itself.
+// echo starts a server that sends back everything it receives, and returns its address.
 func echo(c *qt.C) string {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	c.Assert(err, qt.IsNil)
@@ -27,8 +27,9 @@
 	return ln.Addr().String()
 }
 
-// What goes through a forwarder comes back; a silenced connection stays silent also
-// after the silence, as bytes are missing from it; a reset ends it.
+// TestForwarderModes checks that a forwarder passes data in both directions, that a
+// connection from which data was dropped receives nothing more after the mode changes back,
+// since bytes are missing from it, and that a reset ends a connection.
 func TestForwarderModes(t *testing.T) {
 	c := qt.New(t)
 	f, err := newForwarder("127.0.0.1:0", echo(c))
@@ -40,24 +41,24 @@
 		t.Cleanup(func() { conn.Close() })
 		return conn
 	}
-	say := func(conn net.Conn) (string, error) {
+	exchange := func(conn net.Conn) (string, error) {
 		_, err := conn.Write([]byte("a\n"))
 		c.Assert(err, qt.IsNil)
 		_ = conn.SetReadDeadline(time.Now().Add(200 * time.Millisecond))
 		return bufio.NewReader(conn).ReadString('\n')
 	}
 	conn := dial()
-	got, err := say(conn)
+	got, err := exchange(conn)
 	c.Assert(err, qt.IsNil)
 	c.Assert(got, qt.Equals, "a\n")
 	f.set(modeOneWay, 0)
-	_, err = say(conn)
+	_, err = exchange(conn)
 	c.Assert(err, qt.IsNotNil)
 	f.set(modePass, 0)
-	_, err = say(conn)
+	_, err = exchange(conn)
 	c.Assert(err, qt.IsNotNil)
 	fresh := dial()
-	_, err = say(fresh)
+	_, err = exchange(fresh)
 	c.Assert(err, qt.IsNil)
 	f.reset()
 	_ = fresh.SetReadDeadline(time.Now().Add(5 * time.Second))
--- a/bench/soak/limits.go
+++ b/bench/soak/limits.go
@@ -9,105 +9,111 @@
 	"almondseam.dev/core/api"
 )
 
-// The users' bound on what a target that names a limit gets from all entries.
+// The guaranteed bound on the requests that a target with an announced rate limit receives
+// from all entries together: in any window of limitWindow at most limitTolerance times the
+// announced rate plus limitSlack requests, once a limit has been announced for limitSettleTime.
 const (
-	limitSpan   = 4 * time.Second
-	limitOver   = 1.5
-	limitSlack  = 5
-	limitSettle = 3 * time.Second
-	// limitEnds is how soon a target that names no limit any more gets all again.
-	limitEnds = 5 * time.Second
+	limitWindow     = 4 * time.Second
+	limitTolerance  = 1.5
+	limitSlack      = 5
+	limitSettleTime = 3 * time.Second
+	// limitReleaseTime is the time within which a target that withdrew its limit receives
+	// unlimited traffic again.
+	limitReleaseTime = 5 * time.Second
 )
 
 const (
-	// limitEvery is the mean pause before the next target names a limit.
-	limitEvery = 2 * time.Second
-	// limitLeast and limitMost bound how long it names one rate.
-	limitLeast = 4 * time.Second
-	limitMost  = 10 * time.Second
-	// rateLeast and rateMost bound the rate, in requests a second.
-	rateLeast = 1.0
-	rateMost  = 8.0
+	// meanLimitPause is the mean pause before the next target announces a limit.
+	meanLimitPause = 2 * time.Second
+	// minLimitDuration and maxLimitDuration bound how long a target announces one rate.
+	minLimitDuration = 4 * time.Second
+	maxLimitDuration = 10 * time.Second
+	// minRate and maxRate bound the announced rate in requests per second.
+	minRate = 1.0
+	maxRate = 8.0
 )
 
-// limitTargets lets targets name limits, lower or raise them, and name none again, whatever
-// the faults.
-func limitTargets(ctx context.Context, places []*place, check *checker, rng *rand.Rand) {
+// changeLimits makes one random target after another announce a rate limit, change it once
+// or twice and withdraw it. It continues during faults until ctx ends.
+func changeLimits(ctx context.Context, slots []*targetSlot, check *checker, rng *rand.Rand) {
 	for ctx.Err() == nil {
-		pause(ctx, time.Duration(rng.ExpFloat64()*float64(limitEvery)))
-		p := places[rng.IntN(len(places))]
+		sleep(ctx, time.Duration(rng.ExpFloat64()*float64(meanLimitPause)))
+		p := slots[rng.IntN(len(slots))]
 		p.mu.Lock()
 		t, id := p.target, p.id()
 		p.mu.Unlock()
 		for range 2 + rng.IntN(2) {
-			rate := rateLeast + rng.Float64()*(rateMost-rateLeast)
+			rate := minRate + rng.Float64()*(maxRate-minRate)
 			t.SetLimit(rate)
 			check.Limited(id, p.service, rate)
-			pause(ctx, limitLeast+time.Duration(rng.Int64N(int64(limitMost-limitLeast))))
+			sleep(ctx, minLimitDuration+time.Duration(rng.Int64N(int64(maxLimitDuration-minLimitDuration))))
 		}
 		t.ClearLimit()
 		check.Unlimited(id)
 	}
 }
 
-// limits are what targets name and what has reached them. It is used under the checker's
-// lock.
+// limits holds the rate limits that targets announced and the requests that reached them.
+// The checker's mutex guards it.
 type limits struct {
-	// spans are the limits of each target in the order of their times.
-	spans   map[api.TargetID][]limitSpanOf
+	// periods holds the announced limits of each target in chronological order.
+	periods map[api.TargetID][]limitPeriod
 	arrived map[api.TargetID][]time.Time
-	// excused are the times in which what reaches an address was sent long before.
-	excused map[string][]excuse
+	// delays holds, by target ID, the periods in which requests may arrive long after they
+	// were sent.
+	delays map[string][]delayPeriod
 }
 
-// limitSpanOf is one rate that a target names; to is zero while it does.
-type limitSpanOf struct {
+// limitPeriod is a period in which a target announces one rate; to is zero until it ends.
+type limitPeriod struct {
 	service  api.ServiceID
 	rate     float64
 	from, to time.Time
 }
 
-type excuse struct{ from, to time.Time }
+type delayPeriod struct{ from, to time.Time }
 
 func newLimits() limits {
-	return limits{spans: make(map[api.TargetID][]limitSpanOf), arrived: make(map[api.TargetID][]time.Time), excused: make(map[string][]excuse)}
+	return limits{periods: make(map[api.TargetID][]limitPeriod), arrived: make(map[api.TargetID][]time.Time), delays: make(map[string][]delayPeriod)}
 }
 
-// Limited notes that a target names a limit from now on, Unlimited that it names none.
+// Limited records that a target announces the given rate limit from now on.
 func (k *checker) Limited(t api.TargetID, s api.ServiceID, rate float64) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	now := time.Now()
-	k.limits.end(t, now)
-	k.limits.spans[t] = append(k.limits.spans[t], limitSpanOf{service: s, rate: rate, from: now})
+	k.limits.endLimit(t, now)
+	k.limits.periods[t] = append(k.limits.periods[t], limitPeriod{service: s, rate: rate, from: now})
 }
 
-// Unlimited ends what Limited began.
+// Unlimited records that a target has withdrawn its rate limit.
 func (k *checker) Unlimited(t api.TargetID) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	k.limits.end(t, time.Now())
+	k.limits.endLimit(t, time.Now())
 }
 
-// Excuse notes that what reaches a target now and for a while was held up on its way.
-func (k *checker) Excuse(t api.TargetID, lasts time.Duration) {
+// Excuse records that requests to a target are delayed on the network from now on. The
+// period ends limitWindow after the given duration.
+func (k *checker) Excuse(t api.TargetID, duration time.Duration) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	now := time.Now()
-	k.limits.excused[string(t)] = append(k.limits.excused[string(t)], excuse{now, now.Add(lasts + limitSpan)})
+	k.limits.delays[string(t)] = append(k.limits.delays[string(t)], delayPeriod{now, now.Add(duration + limitWindow)})
 }
 
-func (l *limits) end(t api.TargetID, now time.Time) {
-	if list := l.spans[t]; len(list) > 0 && list[len(list)-1].to.IsZero() {
+func (l *limits) endLimit(t api.TargetID, now time.Time) {
+	if list := l.periods[t]; len(list) > 0 && list[len(list)-1].to.IsZero() {
 		list[len(list)-1].to = now
 	}
 }
 
-// binds tells whether a target of a service named a limit at a time or shortly before.
-func (l *limits) binds(s api.ServiceID, at time.Time) bool {
-	for _, list := range l.spans {
-		for _, span := range list {
-			if span.service == s && !at.Before(span.from) && (span.to.IsZero() || at.Before(span.to.Add(limitEnds))) {
+// limitedAt reports whether a target of the service announced a limit at the given time, or
+// withdrew one less than limitReleaseTime before it.
+func (l *limits) limitedAt(s api.ServiceID, at time.Time) bool {
+	for _, list := range l.periods {
+		for _, period := range list {
+			if period.service == s && !at.Before(period.from) && (period.to.IsZero() || at.Before(period.to.Add(limitReleaseTime))) {
 				return true
 			}
 		}
@@ -115,31 +121,32 @@
 	return false
 }
 
-// checkLimits holds what reached targets against the limits that they named, whatever the
-// faults. The lock is held.
+// checkLimits checks the requests that reached each target against its announced limits,
+// also during faults. It skips windows in which requests to the target were delayed. The
+// caller must hold k.mu.
 func (k *checker) checkLimits() {
-	for target, list := range k.limits.spans {
+	for target, list := range k.limits.periods {
 		arrived := k.limits.arrived[target]
 		slices.SortFunc(arrived, time.Time.Compare)
 		for _, from := range arrived {
-			to := from.Add(limitSpan)
-			rate, counts := mostNamed(list, from, to)
-			if !counts || k.limits.heldUp(target, from, to) {
+			to := from.Add(limitWindow)
+			rate, counts := maxAnnouncedRate(list, from, to)
+			if !counts || k.limits.delayedBetween(target, from, to) {
 				continue
 			}
-			got, bound := within(arrived, from, to), limitOver*rate*limitSpan.Seconds()+limitSlack
+			got, bound := countBetween(arrived, from, to), limitTolerance*rate*limitWindow.Seconds()+limitSlack
 			if float64(got) > bound {
-				k.fail("%s, which names a limit of %.2f a second, got %d requests in %v from %s, of %.1f", target, rate, got, limitSpan, from.Format("15:04:05.000"), bound)
+				k.recordViolation("%s, which names a limit of %.2f a second, got %d requests in %v from %s, of %.1f", target, rate, got, limitWindow, from.Format("15:04:05.000"), bound)
 				break
 			}
 		}
 	}
 }
 
-// mostNamed gives the highest rate that was named in a span; false unless one was named all
-// the while and for limitSettle before.
-func mostNamed(list []limitSpanOf, from, to time.Time) (rate float64, counts bool) {
-	covered := from.Add(-limitSettle)
+// maxAnnouncedRate returns the highest rate announced between limitSettleTime before from
+// and to. It returns false unless a limit was announced during all of that time.
+func maxAnnouncedRate(list []limitPeriod, from, to time.Time) (rate float64, counts bool) {
+	covered := from.Add(-limitSettleTime)
 	for _, s := range list {
 		if !s.to.IsZero() && !s.to.After(covered) {
 			continue
@@ -156,7 +163,8 @@
 	return 0, false
 }
 
-// heldUp tells whether requests to the target were held up on their way in a span.
-func (l *limits) heldUp(t api.TargetID, from, to time.Time) bool {
-	return slices.ContainsFunc(l.excused[string(t)], func(e excuse) bool { return e.from.Before(to) && from.Before(e.to) })
+// delayedBetween reports whether requests to the target were delayed on the network at some
+// time between from and to.
+func (l *limits) delayedBetween(t api.TargetID, from, to time.Time) bool {
+	return slices.ContainsFunc(l.delays[string(t)], func(e delayPeriod) bool { return e.from.Before(to) && from.Before(e.to) })
 }
--- a/bench/soak/load.go
+++ b/bench/soak/load.go
@@ -11,24 +11,24 @@
 	"almondseam.dev/platform/standin"
 )
 
-// traffic is one kind of request.
-type traffic struct {
+// requestKind describes one kind of request.
+type requestKind struct {
 	path string
-	// once: it must not run twice.
-	once bool
-	// events is how many a whole answer has; zero for one body.
+	// atMostOnce is set if the request must not run twice.
+	atMostOnce bool
+	// events is the number of events in a complete stream; zero for a plain response.
 	events int
-	// changing: the route's service changes with each configuration.
+	// changing is set if the service of the route may differ between configuration versions.
 	changing bool
-	// services are those that may serve it.
+	// services lists the services that may serve the request.
 	services []api.ServiceID
 }
 
 const (
-	host     = "soak.example"
-	key      = "a key"
-	patience = 4 * time.Second
-	// routeTimeout is above the callers' patience.
+	host          = "soak.example"
+	key           = "a key"
+	callerTimeout = 4 * time.Second
+	// routeTimeout is longer than callerTimeout, so that callers time out first.
 	routeTimeout = 6 * time.Second
 )
 
@@ -38,16 +38,16 @@
 	serviceB       = api.ServiceID("app-b")
 )
 
-var kinds = []traffic{
+var requestKinds = []requestKind{
 	{path: "/look/x", services: []api.ServiceID{serviceA}},
-	{path: "/book/x", once: true, services: []api.ServiceID{serviceA}},
-	{path: "/notes/events/60", once: true, events: 60, services: []api.ServiceID{serviceWriters}},
+	{path: "/book/x", atMostOnce: true, services: []api.ServiceID{serviceA}},
+	{path: "/notes/events/60", atMostOnce: true, events: 60, services: []api.ServiceID{serviceWriters}},
 	{path: "/tags/events/12", events: 12, services: []api.ServiceID{serviceWriters}},
 	{path: "/change/x", changing: true, services: []api.ServiceID{serviceA, serviceB}},
 }
 
-// configuration gives the document of a version; the changing route goes to either
-// service by turns.
+// configuration returns the configuration with the given version, and the service that its
+// changing route names: serviceA for an even turn, serviceB for an odd one.
 func configuration(version uint64, turn int) (standin.Configuration, api.ServiceID) {
 	changing := []api.ServiceID{serviceA, serviceB}[turn%2]
 	return standin.Configuration{
@@ -63,34 +63,35 @@
 	}, changing
 }
 
-// callers make calls, each over connections of its own.
+// callers holds what the callers share. Each caller runs in its own goroutine, with its own
+// connections.
 type callers struct {
 	entries []string
 	check   *checker
 	next    atomic.Int64
 }
 
-// callPause is the mean pause of a caller between two calls.
-const callPause = 30 * time.Millisecond
+// meanCallPause is the mean pause of a caller between two calls.
+const meanCallPause = 30 * time.Millisecond
 
 func (c *callers) run(ctx context.Context, rng *rand.Rand) {
 	caller := standin.NewCaller()
 	for ctx.Err() == nil {
-		what := kinds[rng.IntN(len(kinds))]
+		kind := requestKinds[rng.IntN(len(requestKinds))]
 		id := api.RequestID(fmt.Sprintf("%016x", c.next.Add(1)))
-		c.check.Sent(id, what)
+		c.check.Sent(id, kind)
 		a := caller.Do(ctx, standin.Call{
-			Entry: c.entries[rng.IntN(len(c.entries))], Host: host, Path: what.path, Key: key, Request: id, Patience: patience,
+			Entry: c.entries[rng.IntN(len(c.entries))], Host: host, Path: kind.path, Key: key, Request: id, Patience: callerTimeout,
 		})
 		if ctx.Err() == nil {
 			c.check.Answered(id, a)
 		}
-		pause(ctx, time.Duration(rng.ExpFloat64()*float64(callPause)))
+		sleep(ctx, time.Duration(rng.ExpFloat64()*float64(meanCallPause)))
 	}
 }
 
-// operators change the configuration and read it, at any member. Two of them may
-// race.
+// operators holds what the operators share. They change and read the configuration and
+// evacuate a zone through random control members. Changes by two operators may race.
 type operators struct {
 	members []string
 	check   *checker
@@ -98,10 +99,11 @@
 }
 
 const (
-	// changeEvery is the mean time between two changes of one operator.
-	changeEvery = 700 * time.Millisecond
-	// putTries is how often a change without a clear answer is sent again.
-	putTries = 12
+	// meanChangeInterval is the mean time between two changes by one operator. The time that
+	// the requests take comes on top.
+	meanChangeInterval = 700 * time.Millisecond
+	// maxPutAttempts is how many times a change is sent, until it is acknowledged.
+	maxPutAttempts = 12
 )
 
 func (o *operators) run(ctx context.Context, rng *rand.Rand) {
@@ -115,23 +117,24 @@
 		if v, ok := op.Get(ctx, member); ok {
 			o.check.Read(member, v, sent)
 		}
-		pause(ctx, time.Duration(rng.ExpFloat64()*float64(changeEvery)/3))
+		sleep(ctx, time.Duration(rng.ExpFloat64()*float64(meanChangeInterval)/3))
 	}
 }
 
-// put changes the configuration; true once it is acknowledged.
+// put sends a new configuration version to random control members. It returns true once the
+// version is acknowledged, and false after maxPutAttempts attempts or when ctx ends.
 func (o *operators) put(ctx context.Context, op *standin.Operator, rng *rand.Rand) bool {
 	version := o.version.Add(uint64(1 + rng.IntN(3)))
 	c, changing := configuration(version, rng.IntN(2))
 	o.check.Proposed(version, changing)
-	for range putTries {
+	for range maxPutAttempts {
 		ok, err := op.Put(ctx, o.members[rng.IntN(len(o.members))], c)
 		if ok {
 			o.check.Accepted(version)
 			return true
 		}
 		if err != nil && ctx.Err() == nil && rng.IntN(4) > 0 {
-			pause(ctx, 100*time.Millisecond)
+			sleep(ctx, 100*time.Millisecond)
 		}
 		if ctx.Err() != nil {
 			return false
--- a/bench/soak/main.go
+++ b/bench/soak/main.go
@@ -19,18 +19,20 @@
 	"github.com/sourcegraph/conc"
 )
 
-// settings of one run.
+// settings holds the settings of one run. faultPhases is the number of fault phases and
+// faultPhase the duration of each; calm is the time without faults after each, in addition to
+// settleTime.
 type settings struct {
-	binary   string
-	dir      string
-	seed     uint64
-	controls int
-	entries  int
-	callers  int
-	storms   int
-	storm    time.Duration
-	calm     time.Duration
-	// limits lets targets name limits.
+	binary      string
+	dir         string
+	seed        uint64
+	controls    int
+	entries     int
+	callers     int
+	faultPhases int
+	faultPhase  time.Duration
+	calm        time.Duration
+	// limits is set if targets announce rate limits.
 	limits bool
 	out    io.Writer
 }
@@ -46,12 +48,13 @@
 	app.Flag("controls", "Control members.").Default("3").IntVar(&set.controls)
 	app.Flag("entries", "Entries.").Default("3").IntVar(&set.entries)
 	app.Flag("callers", "Callers.").Default("12").IntVar(&set.callers)
-	app.Flag("storms", "Times of faults in one run.").Default("2").IntVar(&set.storms)
-	app.Flag("storm", "How long each lasts.").Default("8s").DurationVar(&set.storm)
+	app.Flag("storms", "Times of faults in one run.").Default("2").IntVar(&set.faultPhases)
+	app.Flag("storm", "How long each lasts.").Default("8s").DurationVar(&set.faultPhase)
 	app.Flag("calm", "Time without faults after each, counted from when the fleet has settled.").Default("5s").DurationVar(&set.calm)
 	app.Flag("limits", "Targets name limits.").Default("true").BoolVar(&set.limits)
 	kingpin.MustParse(app.Parse(os.Args[1:]))
-	// Interrupted, a run ends its processes: frozen ones would hold their addresses for ever.
+	// An interrupted run must kill its processes: a process suspended by SIGSTOP would hold
+	// its addresses forever.
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGINT, syscall.SIGTERM)
 	defer stop()
 	failed := 0
@@ -63,7 +66,7 @@
 		run := set
 		run.seed += uint64(i)
 		run.dir = filepath.Join(base, fmt.Sprintf("seed-%d", run.seed))
-		if err := soak(ctx, run); err != nil {
+		if err := runSeed(ctx, run); err != nil {
 			fmt.Fprintf(set.out, "seed %d FAILED\n%v\n", run.seed, err)
 			failed++
 		}
@@ -73,21 +76,22 @@
 	}
 }
 
-// The second byte of a run's loopback addresses.
+// The second byte of a run's loopback addresses lies in [firstNet, firstNet+netCount). A run
+// listens on portNet to reserve its range.
 const (
 	firstNet = 20
-	nets     = 200
+	netCount = 200
 	portNet  = 7199
 )
 
-// errNoNet reports that too many runs go on.
+// errNoNet is returned if other runs have reserved all ranges of loopback addresses.
 var errNoNet = errors.New("no free range of loopback addresses")
 
-// takeNet takes a range of loopback addresses for a run until the listener is closed: whoever
-// holds the range's listener has it alone.
-func takeNet(from uint64) (byte, net.Listener, error) {
-	for i := range uint64(nets) {
-		n := byte(firstNet + (from+i)%nets)
+// reserveNet reserves a range of loopback addresses for a run. The range is reserved until
+// the returned listener is closed, since only one process can listen on its address.
+func reserveNet(from uint64) (byte, net.Listener, error) {
+	for i := range uint64(netCount) {
+		n := byte(firstNet + (from+i)%netCount)
 		ln, err := net.Listen("tcp", fmt.Sprintf("127.%d.0.1:%d", n, portNet))
 		if err == nil {
 			return n, ln, nil
@@ -96,30 +100,32 @@
 	return 0, nil, errNoNet
 }
 
-// foundWithin bounds the founding of the group and the first configuration.
-const foundWithin = 30 * time.Second
+// bootstrapTimeout bounds the time until the control group has formed and accepted the first
+// configuration and all entries are ready.
+const bootstrapTimeout = 30 * time.Second
 
-// soak plays one seed, or the part of it until ctx ends. The error names every broken promise.
-func soak(ctx context.Context, set settings) error {
-	if err := os.MkdirAll(set.dir, 0o755); err != nil {
+// runSeed runs one seed, or the part of it until ctx ends. The error lists every violated
+// guarantee, or says why the fleet failed to start.
+func runSeed(ctx context.Context, config settings) error {
+	if err := os.MkdirAll(config.dir, 0o755); err != nil {
 		return err
 	}
 	check := newChecker()
-	rng := rand.New(rand.NewPCG(set.seed, 0))
-	n, ln, err := takeNet(set.seed)
+	rng := rand.New(rand.NewPCG(config.seed, 0))
+	n, ln, err := reserveNet(config.seed)
 	if err != nil {
 		return err
 	}
 	defer ln.Close()
 	a := addresses{n}
-	f, err := startFleet(set.dir, set.binary, a, set.controls, set.entries, check.Unwell)
+	f, err := startFleet(config.dir, config.binary, a, config.controls, config.entries, check.Unwell)
 	defer f.stop()
 	if err != nil {
 		return err
 	}
-	places, err := startTargets(a, f, []api.ServiceID{serviceWriters, serviceA, serviceB}, 2, check.Ran)
+	slots, err := startTargets(a, f, []api.ServiceID{serviceWriters, serviceA, serviceB}, 2, check.Ran)
 	defer func() {
-		for _, p := range places {
+		for _, p := range slots {
 			p.stop()
 		}
 	}()
@@ -127,12 +133,12 @@
 		return err
 	}
 	ops := &operators{members: f.operators(), check: check}
-	if err := found(ctx, f, ops, rng); err != nil {
+	if err := bootstrap(ctx, f, ops, rng); err != nil {
 		return err
 	}
-	play(ctx, set, f, places, ops, check, rng)
-	summary, broken := check.verdict()
-	fmt.Fprintf(set.out, "seed %d: %s, %d promises broken\n", set.seed, summary, len(broken))
+	runLoad(ctx, config, f, slots, ops, check, rng)
+	summary, broken := check.evaluate()
+	fmt.Fprintf(config.out, "seed %d: %s, %d promises broken\n", config.seed, summary, len(broken))
 	var errs []error
 	for _, b := range broken {
 		errs = append(errs, errors.New(b))
@@ -140,9 +146,10 @@
 	return errors.Join(errs...)
 }
 
-// found waits for the first configuration and for all entries.
-func found(ctx context.Context, f *fleet, ops *operators, rng *rand.Rand) error {
-	ctx, cancel := context.WithTimeout(ctx, foundWithin)
+// bootstrap sends the first configuration and waits until it is accepted and all entries are
+// ready.
+func bootstrap(ctx context.Context, f *fleet, ops *operators, rng *rand.Rand) error {
+	ctx, cancel := context.WithTimeout(ctx, bootstrapTimeout)
 	defer cancel()
 	op := standin.NewOperator()
 	for !ops.put(ctx, op, rng) {
@@ -151,47 +158,48 @@
 		}
 	}
 	for _, n := range f.entries {
-		for !op.Ready(ctx, n.set.Ready) {
+		for !op.Ready(ctx, n.config.Ready) {
 			if ctx.Err() != nil {
 				return fmt.Errorf("%s is not ready", n.name)
 			}
-			pause(ctx, 50*time.Millisecond)
+			sleep(ctx, 50*time.Millisecond)
 		}
 	}
 	return nil
 }
 
-// play runs callers and operators beside the times of faults.
-func play(ctx context.Context, set settings, f *fleet, places []*place, ops *operators, check *checker, rng *rand.Rand) {
+// runLoad runs callers and operators while the injector alternates between fault phases and
+// calm phases.
+func runLoad(ctx context.Context, config settings, f *fleet, slots []*targetSlot, ops *operators, check *checker, rng *rand.Rand) {
 	ctx, cancel := context.WithCancel(ctx)
 	var work conc.WaitGroup
 	c := &callers{check: check}
 	for _, n := range f.entries {
-		c.entries = append(c.entries, at(n.set.Host, portCallers))
+		c.entries = append(c.entries, hostPort(n.config.Host, portCallers))
 	}
-	for i := range set.callers {
-		own := rand.New(rand.NewPCG(set.seed, uint64(1+i)))
+	for i := range config.callers {
+		own := rand.New(rand.NewPCG(config.seed, uint64(1+i)))
 		work.Go(func() { c.run(ctx, own) })
 	}
 	for i := range 2 {
-		own := rand.New(rand.NewPCG(set.seed, uint64(1000+i)))
+		own := rand.New(rand.NewPCG(config.seed, uint64(1000+i)))
 		work.Go(func() { ops.run(ctx, own) })
 	}
-	own := rand.New(rand.NewPCG(set.seed, 2000))
+	own := rand.New(rand.NewPCG(config.seed, 2000))
 	work.Go(func() { ops.evacuate(ctx, own) })
-	if set.limits {
-		own := rand.New(rand.NewPCG(set.seed, 3000))
-		work.Go(func() { limitTargets(ctx, places, check, own) })
+	if config.limits {
+		own := rand.New(rand.NewPCG(config.seed, 3000))
+		work.Go(func() { changeLimits(ctx, slots, check, own) })
 	}
-	log, err := os.Create(filepath.Join(set.dir, "faults.log"))
+	log, err := os.Create(filepath.Join(config.dir, "faults.log"))
 	if err != nil {
 		check.Unwell(err.Error())
 	} else {
 		defer log.Close()
-		j := &injector{fleet: f, places: places, check: check, rng: rng, log: log, begun: time.Now()}
-		for range set.storms {
-			j.storm(ctx, set.storm)
-			pause(ctx, settle+set.calm)
+		j := &injector{fleet: f, slots: slots, check: check, rng: rng, log: log, started: time.Now()}
+		for range config.faultPhases {
+			j.faultPhase(ctx, config.faultPhase)
+			sleep(ctx, settleTime+config.calm)
 		}
 	}
 	cancel()
--- a/bench/soak/soak_test.go
+++ b/bench/soak/soak_test.go
@@ -10,28 +10,30 @@
 	qt "github.com/frankban/quicktest"
 )
 
-// Two runs with one seed go on beside each other, on different addresses.
+// TestRunsBesideEachOtherDoNotMeet checks that two concurrent runs with the same seed reserve
+// different address ranges.
 func TestRunsBesideEachOtherDoNotMeet(t *testing.T) {
 	c := qt.New(t)
-	a, first, err := takeNet(7)
+	a, first, err := reserveNet(7)
 	c.Assert(err, qt.IsNil)
 	defer first.Close()
-	b, second, err := takeNet(7)
+	b, second, err := reserveNet(7)
 	c.Assert(err, qt.IsNil)
 	defer second.Close()
 	c.Assert(a, qt.Not(qt.Equals), b)
 }
 
-// short is a run of half a minute.
-func short(binary, dir string, seed uint64) settings {
+// shortRun returns the settings of a short run: one fault phase of 8 s, then 2 s of calm once
+// the fleet has settled.
+func shortRun(binary, dir string, seed uint64) settings {
 	return settings{
 		binary: binary, dir: dir, seed: seed,
-		controls: 3, entries: 3, callers: 12, storms: 1, storm: 8 * time.Second, calm: 2 * time.Second, out: os.Stderr,
+		controls: 3, entries: 3, callers: 12, faultPhases: 1, faultPhase: 8 * time.Second, calm: 2 * time.Second, out: os.Stderr,
 	}
 }
 
-// The real programs under a short series of faults keep their promises. Seeds that
-// ever failed stay here.
+// TestSoak checks the guarantees of the real program under a short series of faults. Seeds
+// that have ever failed stay in the table.
 func TestSoak(t *testing.T) {
 	c := qt.New(t)
 	binary := filepath.Join(t.TempDir(), "almondseam")
@@ -43,16 +45,16 @@
 		limits bool
 	}{
 		{"any", 1, false},
-		// A lookup's answer was lost, the only other target was leaving, and the caller
-		// was told that it had not run.
+		// The response to an idempotent request was lost while the only other target was
+		// draining, and the caller was told that the request had not run.
 		{"refused though it may have run", 121, false},
 		{"targets name limits", 4, true},
 	} {
 		t.Run(tt.name, func(t *testing.T) {
 			t.Parallel()
-			set := short(binary, filepath.Join(t.TempDir(), "run"), tt.seed)
+			set := shortRun(binary, filepath.Join(t.TempDir(), "run"), tt.seed)
 			set.limits = tt.limits
-			qt.New(t).Assert(soak(t.Context(), set), qt.IsNil)
+			qt.New(t).Assert(runSeed(t.Context(), set), qt.IsNil)
 		})
 	}
 }
