--- a/core/stream/receiver.go
+++ b/core/stream/receiver.go
@@ -81,7 +81,7 @@
 		return nil, 0, Gap, err
 	}
 	if count != n {
-		return nil, 0, Gap, fmt.Errorf("run states %d items but contains %d: %w", n, count, ErrPacked)
+		return nil, 0, Gap, fmt.Errorf("run says %d items and holds %d: %w", n, count, ErrPacked)
 	}
 	duplicates := r.next - off
 	fresh, err := skip(packed, duplicates)
@@ -100,13 +100,13 @@
 // response must never pass as a complete one.
 func (r *Receiver) Complete(gen api.GenerationID, count, sum uint64) (missing bool, err error) {
 	if r.gen != "" && gen != r.gen {
-		return false, fmt.Errorf("final frame is of generation %s, but received items are of %s", gen, r.gen)
+		return false, fmt.Errorf("final of generation %s, received %s", gen, r.gen)
 	}
 	if count > r.next {
 		return true, nil
 	}
 	if count < r.next || !r.partial && sum != r.sum.Sum64() {
-		return false, fmt.Errorf("received %d items, which do not match the count %d or the checksum of the final frame", r.next, count)
+		return false, fmt.Errorf("received %d items, final says %d", r.next, count)
 	}
 	return false, nil
 }
